--- a/src/member/gossip.rs
+++ b/src/member/gossip.rs
@@ -113,9 +113,9 @@
                         stale.push(record.host);
                     }
                 }
-                wire::Item::End(end) => self.absorb_end(end),
-                wire::Item::Ban(ban) => self.absorb_ban(ban, way),
-                wire::Item::Bans { digest, reply } => {
+                wire::Item::Crash(end) => self.absorb_end(end),
+                wire::Item::Quarantine(ban) => self.absorb_ban(ban, way),
+                wire::Item::Quarantines { digest, reply } => {
                     self.compare_bans(datagram.from, *digest, *reply);
                 }
             }
@@ -275,8 +275,10 @@
                 rumors::Topic::Claim(id) => put_claim(packer, table, *id),
                 rumors::Topic::Dark(zone) => zones.is_dark(zone).then(|| packer.dark(zone)),
                 rumors::Topic::Record(id) => put_record(packer, table, *id),
-                rumors::Topic::End(id) => ends.end(*id, now).map(|end| packer.item(end)),
-                rumors::Topic::Ban(print) => ends.ban(*print, now).map(|ban| packer.item(ban)),
+                rumors::Topic::Crash(id) => ends.crash(*id, now).map(|end| packer.item(end)),
+                rumors::Topic::Quarantine(print) => {
+                    ends.entry(*print, now).map(|ban| packer.item(ban))
+                }
             };
             match fitted {
                 Some(true) => rumors::Fit::Packed,
--- a/src/member/quarantined.rs
+++ b/src/member/quarantined.rs
@@ -34,27 +34,27 @@
     }
 
     /// The end called `id`, to be told at `now`.
-    pub fn end(&self, id: quarantine::EndId, now: clock::Instant) -> Option<wire::Item> {
-        let end = self.table.end(id)?;
-        let prints = end.prints.to_vec();
-        Some(wire::Item::End(wire::End { id, age_ms: age(end.at, now), prints }))
+    pub fn crash(&self, id: quarantine::CrashId, now: clock::Instant) -> Option<wire::Item> {
+        let end = self.table.crash(id)?;
+        let prints = end.fingerprints.to_vec();
+        Some(wire::Item::Crash(wire::Crash { id, age_ms: age(end.at, now), fingerprints: prints }))
     }
 
     /// What is held of `print`, to be told at `now`.
-    pub fn ban(&self, print: quarantine::Print, now: clock::Instant) -> Option<wire::Item> {
-        self.table.ban(print).map(|ban| tell(print, ban, now))
+    pub fn entry(&self, print: quarantine::Fingerprint, now: clock::Instant) -> Option<wire::Item> {
+        self.table.entry(print).map(|ban| tell(print, ban, now))
     }
 
     /// The digest of what is held of all requests; `None` when there is nothing to compare.
     pub fn bans(&self) -> Option<wire::Item> {
         let digest = self.table.digest();
         let held = digest != quarantine::Digest::default();
-        held.then_some(wire::Item::Bans { digest, reply: true })
+        held.then_some(wire::Item::Quarantines { digest, reply: true })
     }
 
     /// Adds what is held of requests to a datagram of `now`, as far as it fits.
     pub fn pack(&self, packer: &mut wire::Packer, now: clock::Instant) {
-        for (print, ban) in self.table.proven() {
+        for (print, ban) in self.table.quarantined() {
             if !packer.item(tell(print, ban, now)) {
                 return;
             }
@@ -69,77 +69,77 @@
     /// The end of the upstream beside this host, at which `prints` ran.
     fn own_end(
         &mut self,
-        mut prints: Vec<quarantine::Print>,
+        mut prints: Vec<quarantine::Fingerprint>,
         now: clock::Instant,
-    ) -> quarantine::End {
-        let known = self.table.known();
-        prints.sort_by_key(|print| (std::cmp::Reverse(known.ends(*print)), *print));
+    ) -> quarantine::Crash {
+        let known = self.table.snapshot();
+        prints.sort_by_key(|print| (std::cmp::Reverse(known.crashes(*print)), *print));
         prints.dedup();
-        prints.truncate(quarantine::PRINTS);
-        let id = quarantine::EndId { host: self.host, number: self.number };
+        prints.truncate(quarantine::MAX_FINGERPRINTS);
+        let id = quarantine::CrashId { host: self.host, number: self.number };
         self.number += 1;
-        quarantine::End { id, at: now, prints: prints.into() }
+        quarantine::Crash { id, at: now, fingerprints: prints.into() }
     }
 }
 
 impl member::Member {
-    /// Whether [`member::Member::known`] would give something else than last time.
+    /// Whether [`member::Member::snapshot`] would give something else than last time.
     pub fn has_learned(&self) -> bool {
         self.quarantine.changed
     }
 
     /// What is known of requests under which upstreams end.
-    pub fn known(&mut self) -> quarantine::Known {
+    pub fn snapshot(&mut self) -> quarantine::Snapshot {
         self.quarantine.changed = false;
-        self.quarantine.table.known()
+        self.quarantine.table.snapshot()
     }
 
     /// Takes in what the calls of this node found out, and tells the others.
     pub(super) fn report(&mut self, report: quarantine::Report) {
         match report {
-            quarantine::Report::Ended(prints) => {
+            quarantine::Report::Crashed(prints) => {
                 let end = self.quarantine.own_end(prints, self.now);
                 self.note_end(end);
             }
-            quarantine::Report::Cleared(print) => self.note_answer(print),
+            quarantine::Report::Answered(print) => self.note_answer(print),
         }
     }
 
-    fn note_answer(&mut self, print: quarantine::Print) {
+    fn note_answer(&mut self, print: quarantine::Fingerprint) {
         let ends = self.quarantine.table.clear(print, self.now);
         self.quarantine.changed |= ends > 0;
         // One end proves nothing anywhere: its excuse would only be traffic.
-        if ends >= quarantine::SUSPECT {
-            self.spread(rumors::Topic::Ban(print), rumors::Rank::Urgent, 0);
+        if ends >= quarantine::SUSPICION_THRESHOLD {
+            self.spread(rumors::Topic::Quarantine(print), rumors::Rank::Urgent, 0);
         }
     }
 
-    fn note_end(&mut self, end: quarantine::End) {
+    fn note_end(&mut self, end: quarantine::Crash) {
         let id = end.id;
         if self.quarantine.table.note(end, self.now) {
             self.quarantine.changed = true;
-            self.spread(rumors::Topic::End(id), rumors::Rank::Urgent, 0);
+            self.spread(rumors::Topic::Crash(id), rumors::Rank::Urgent, 0);
         }
     }
 
     /// Takes in the end of another host's upstream.
-    pub(super) fn absorb_end(&mut self, end: &wire::End) {
+    pub(super) fn absorb_end(&mut self, end: &wire::Crash) {
         let at = before(self.now, end.age_ms);
-        let prints = end.prints.as_slice().into();
-        self.note_end(quarantine::End { id: end.id, at, prints });
+        let prints = end.fingerprints.as_slice().into();
+        self.note_end(quarantine::Crash { id: end.id, at, fingerprints: prints });
     }
 
     /// Takes in what another host holds of a request.
-    pub(super) fn absorb_ban(&mut self, ban: &wire::Ban, way: gossip::Way) {
+    pub(super) fn absorb_ban(&mut self, ban: &wire::QuarantineEntry, way: gossip::Way) {
         let last = before(self.now, ban.age_ms);
-        let held = quarantine::Ban { ends: ban.ends, cleared: ban.cleared, last };
-        if !self.quarantine.table.merge(ban.print, held, self.now) {
+        let held = quarantine::Entry { crashes: ban.crashes, lifted: ban.lifted, last };
+        if !self.quarantine.table.merge(ban.fingerprint, held, self.now) {
             return;
         }
         self.quarantine.changed = true;
         // Ends are news of their own, and every host finds out itself what follows from them.
-        if ban.cleared && way == gossip::Way::Rumor {
-            self.spread(rumors::Topic::Ban(ban.print), rumors::Rank::Urgent, 0);
+        if ban.lifted && way == gossip::Way::Rumor {
+            self.spread(rumors::Topic::Quarantine(ban.fingerprint), rumors::Rank::Urgent, 0);
         }
     }
 
@@ -156,7 +156,7 @@
         }
         let mut packer = wire::Packer::new(self.id, wire::Body::Gossip);
         if reply {
-            packer.item(wire::Item::Bans { digest: own, reply: false });
+            packer.item(wire::Item::Quarantines { digest: own, reply: false });
         }
         self.quarantine.pack(&mut packer, self.now);
         if !packer.is_empty() {
@@ -165,9 +165,14 @@
     }
 }
 
-fn tell(print: quarantine::Print, ban: quarantine::Ban, now: clock::Instant) -> wire::Item {
-    let quarantine::Ban { ends, cleared, last } = ban;
-    wire::Item::Ban(wire::Ban { print, ends, cleared, age_ms: age(last, now) })
+fn tell(print: quarantine::Fingerprint, ban: quarantine::Entry, now: clock::Instant) -> wire::Item {
+    let quarantine::Entry { crashes, lifted, last } = ban;
+    wire::Item::Quarantine(wire::QuarantineEntry {
+        fingerprint: print,
+        crashes,
+        lifted,
+        age_ms: age(last, now),
+    })
 }
 
 /// Milliseconds from `at` until `now`.
--- a/src/member/rumors.rs
+++ b/src/member/rumors.rs
@@ -17,9 +17,9 @@
     /// A host's record.
     Record(host::HostId),
     /// The end of an upstream.
-    End(quarantine::EndId),
+    Crash(quarantine::CrashId),
     /// What is held of a request.
-    Ban(quarantine::Print),
+    Quarantine(quarantine::Fingerprint),
 }
 
 /// How pressing a piece of news is; the first goes first.
--- a/src/member/shell.rs
+++ b/src/member/shell.rs
@@ -184,7 +184,7 @@
             }
         }
         if self.member.has_learned() {
-            self.wiring.quarantine.known.send_replace(Arc::new(self.member.known()));
+            self.wiring.quarantine.snapshot.send_replace(Arc::new(self.member.snapshot()));
         }
         let due = self.ctx.now().since(self.published) >= PUBLISH;
         let turned = self.member.standing() != standing;
--- a/src/member/wire.rs
+++ b/src/member/wire.rs
@@ -168,24 +168,24 @@
 
 /// The end of an upstream on the wire.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct End {
+pub struct Crash {
     /// Its name.
-    pub id: quarantine::EndId,
+    pub id: quarantine::CrashId,
     /// Time since then, in milliseconds.
     pub age_ms: u32,
-    /// What ran; at most [`quarantine::PRINTS`].
-    pub prints: Vec<quarantine::Print>,
+    /// What ran; at most [`quarantine::MAX_FINGERPRINTS`].
+    pub fingerprints: Vec<quarantine::Fingerprint>,
 }
 
 /// What is held of a request on the wire.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Ban {
+pub struct QuarantineEntry {
     /// The request.
-    pub print: quarantine::Print,
+    pub fingerprint: quarantine::Fingerprint,
     /// Upstreams that ended under it.
-    pub ends: u8,
+    pub crashes: u8,
     /// Whether an upstream has answered it since.
-    pub cleared: bool,
+    pub lifted: bool,
     /// Time since the last of them ended, or answered it, in milliseconds.
     pub age_ms: u32,
 }
@@ -210,11 +210,11 @@
     /// A host's record.
     Record(Record),
     /// The end of an upstream.
-    End(End),
+    Crash(Crash),
     /// What is held of a request.
-    Ban(Ban),
+    Quarantine(QuarantineEntry),
     /// What the sender holds of all requests.
-    Bans {
+    Quarantines {
         /// Digest of it.
         digest: quarantine::Digest,
         /// Whether a receiver that holds something else says so.
@@ -309,9 +309,11 @@
     match item {
         Item::Claim { host, .. } => check_host(*host),
         Item::Dark { zone } => check_name(*zone),
-        Item::End(end) if end.prints.len() > quarantine::PRINTS => Err(Error::Prints),
-        Item::End(end) => check_host(end.id.host),
-        Item::Ban(_) | Item::Bans { .. } => Ok(()),
+        Item::Crash(end) if end.fingerprints.len() > quarantine::MAX_FINGERPRINTS => {
+            Err(Error::Prints)
+        }
+        Item::Crash(end) => check_host(end.id.host),
+        Item::Quarantine(_) | Item::Quarantines { .. } => Ok(()),
         Item::Record(record) => {
             check_host(record.host)?;
             check_name(record.region)?;
--- a/src/proxy/ends.rs
+++ b/src/proxy/ends.rs
@@ -24,7 +24,7 @@
 const LOOKS: u8 = 5;
 
 /// A call that ran: its number among the runs of this node, and its fingerprint.
-type Ran = (u64, quarantine::Print);
+type Ran = (u64, quarantine::Fingerprint);
 
 /// What ran when the upstream last broke a call off.
 #[derive(Debug, Default)]
@@ -59,7 +59,7 @@
         runs: impl Fn(u64) -> bool,
         address: impl Fn() -> Option<net::SocketAddr>,
         limit: time::Duration,
-    ) -> Vec<quarantine::Print> {
+    ) -> Vec<quarantine::Fingerprint> {
         loop {
             self.woken.notified().await;
             let gone = self.broke_all(&runs).await
--- a/src/proxy/ends/tests.rs
+++ b/src/proxy/ends/tests.rs
@@ -7,12 +7,12 @@
 use tokio::net::TcpListener;
 
 use crate::proxy::ends;
-use crate::quarantine::Print;
+use crate::quarantine::Fingerprint;
 
 const LIMIT: time::Duration = time::Duration::from_millis(500);
 
 /// Waits for the end of an upstream at `address`, for a moment only.
-async fn next(ends: &ends::Ends, address: Option<net::SocketAddr>) -> Option<Vec<Print>> {
+async fn next(ends: &ends::Ends, address: Option<net::SocketAddr>) -> Option<Vec<Fingerprint>> {
     next_beside(ends, address, |_| false).await
 }
 
@@ -21,7 +21,7 @@
     ends: &ends::Ends,
     address: Option<net::SocketAddr>,
     runs: impl Fn(u64) -> bool,
-) -> Option<Vec<Print>> {
+) -> Option<Vec<Fingerprint>> {
     let moment = time::Duration::from_millis(200);
     tokio::time::timeout(moment, ends.next(runs, || address, LIMIT)).await.ok()
 }
@@ -33,7 +33,7 @@
 }
 
 fn cut(ends: &ends::Ends, prints: &[u64]) {
-    ends.cut((0..).zip(prints.iter().copied().map(Print)));
+    ends.cut((0..).zip(prints.iter().copied().map(Fingerprint)));
 }
 
 #[tokio::test]
@@ -45,7 +45,10 @@
     // The others follow one after the other, each with fewer beside it.
     cut(&ends, &[2, 3]);
     cut(&ends, &[3]);
-    assert_eq!(next(&ends, Some(address)).await, Some(vec![Print(1), Print(2), Print(3)]));
+    assert_eq!(
+        next(&ends, Some(address)).await,
+        Some(vec![Fingerprint(1), Fingerprint(2), Fingerprint(3)])
+    );
     assert_eq!(next(&ends, Some(address)).await, None, "one end is told once");
 }
 
@@ -56,7 +59,7 @@
     let ends = ends::Ends::default();
     cut(&ends, &[1, 2]);
     ends.whole(0);
-    assert_eq!(next(&ends, Some(address)).await, Some(vec![Print(2)]));
+    assert_eq!(next(&ends, Some(address)).await, Some(vec![Fingerprint(2)]));
 }
 
 #[rstest]
@@ -89,5 +92,8 @@
     cut(&ends, &[1, 2]);
     let looks = std::cell::Cell::new(0);
     let runs = |key| key == 1 && looks.replace(looks.get() + 1) < 2;
-    assert_eq!(next_beside(&ends, Some(address), runs).await, Some(vec![Print(1), Print(2)]));
+    assert_eq!(
+        next_beside(&ends, Some(address), runs).await,
+        Some(vec![Fingerprint(1), Fingerprint(2)])
+    );
 }
--- a/src/proxy/job.rs
+++ b/src/proxy/job.rs
@@ -114,11 +114,11 @@
     }
 
     /// The fingerprint of the call's request, as its upstream's node makes it.
-    fn print(&self, printer: &quarantine::Printer) -> quarantine::Print {
+    fn print(&self, printer: &quarantine::Fingerprinter) -> quarantine::Fingerprint {
         let ask = &self.ask;
         let host = ask.host.as_ref().map_or("", http::uri::Authority::as_str);
         let body = self.intake.attempt();
-        printer.print(ask.method.as_str(), host, ask.path.as_str(), body.print())
+        printer.fingerprint(ask.method.as_str(), host, ask.path.as_str(), body.print())
     }
 
     /// The request of attempt number `attempt`.
--- a/src/proxy/owner.rs
+++ b/src/proxy/owner.rs
@@ -195,7 +195,7 @@
 /// which one it was.
 fn apart<C: claim::Claims>(
     state: &state::State<C>,
-    print: quarantine::Print,
+    print: quarantine::Fingerprint,
 ) -> Result<(), refuse::Refusal> {
     let suspect = |print| state.suspects.is_suspect(print);
     if suspect(print) && state.runs.has_other(print, suspect) {
@@ -208,11 +208,11 @@
 fn print<C: claim::Claims>(
     state: &state::State<C>,
     request: &http::Request<upload::Upload>,
-) -> quarantine::Print {
+) -> quarantine::Fingerprint {
     let host = request.headers().get(header::HOST).and_then(|host| host.to_str().ok());
     let path = request.uri().path_and_query().map_or("", http::uri::PathAndQuery::as_str);
     let method = request.method().as_str();
-    state.printer.print(method, host.unwrap_or_default(), path, request.body().print())
+    state.printer.fingerprint(method, host.unwrap_or_default(), path, request.body().print())
 }
 
 /// Sends a call on a connection from the pool. One that turns out to be closed before anything
--- a/src/proxy/runs.rs
+++ b/src/proxy/runs.rs
@@ -23,7 +23,7 @@
 struct Run {
     key: u64,
     id: Option<header::HeaderValue>,
-    print: quarantine::Print,
+    print: quarantine::Fingerprint,
 }
 
 /// The calls that run.
@@ -42,7 +42,7 @@
 pub struct Running {
     runs: Rc<Runs>,
     key: u64,
-    print: quarantine::Print,
+    print: quarantine::Fingerprint,
     /// Whether the upstream's answer is no failure: one that gives up in time has not run the call to
     /// where it ends.
     sound: bool,
@@ -63,8 +63,8 @@
     /// Whether a call other than `print` runs for which `holds`.
     pub fn has_other(
         &self,
-        print: quarantine::Print,
-        holds: impl Fn(quarantine::Print) -> bool,
+        print: quarantine::Fingerprint,
+        holds: impl Fn(quarantine::Fingerprint) -> bool,
     ) -> bool {
         self.list.borrow().iter().any(|run| run.print != print && holds(run.print))
     }
@@ -73,7 +73,7 @@
     pub fn enter(
         self: &Rc<Self>,
         id: Option<header::HeaderValue>,
-        print: quarantine::Print,
+        print: quarantine::Fingerprint,
     ) -> Running {
         let key = self.next.replace(self.next.get() + 1);
         self.list.borrow_mut().push(Run { key, id, print });
--- a/src/proxy/runs/tests.rs
+++ b/src/proxy/runs/tests.rs
@@ -10,7 +10,7 @@
 use crate::quarantine;
 
 fn enter(runs: &Rc<Runs>, text: &'static str) -> Running {
-    runs.enter(Some(id(text)), quarantine::Print(0))
+    runs.enter(Some(id(text)), quarantine::Fingerprint(0))
 }
 
 fn id(text: &'static str) -> header::HeaderValue {
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -104,7 +104,7 @@
     /// Ends of the upstream beside this node.
     pub ends: Rc<ends::Ends>,
     /// Makes the fingerprints of requests.
-    pub printer: quarantine::Printer,
+    pub printer: quarantine::Fingerprinter,
     /// Requests under which upstreams end.
     pub suspects: Rc<suspects::Suspects>,
     /// Callers that were refused and may come back.
@@ -173,7 +173,7 @@
             runs: Rc::new(runs::Runs::new(Rc::clone(&ends), Rc::clone(&suspects))),
             suspects,
             ends,
-            printer: quarantine::Printer::new(&seal),
+            printer: quarantine::Fingerprinter::new(&seal),
             seal,
             rollouts: versions::Versions::default(),
             splitter: RefCell::default(),
@@ -407,7 +407,7 @@
     }
 
     /// The upstream beside this node has ended while requests with these fingerprints ran.
-    pub fn ended(&self, prints: &[quarantine::Print]) {
+    pub fn ended(&self, prints: &[quarantine::Fingerprint]) {
         let local = self.local.borrow();
         let Some(local) = local.as_ref() else { return };
         self.trace.upstream_ended(&local.instance, local.upstream.life, prints);
--- a/src/proxy/suspects.rs
+++ b/src/proxy/suspects.rs
@@ -15,7 +15,7 @@
     ctx: context::Context,
     me: host::HostId,
     side: quarantine::CallSide,
-    known: RefCell<Arc<quarantine::Known>>,
+    known: RefCell<Arc<quarantine::Snapshot>>,
     proven: RefCell<quarantine::Proven>,
 }
 
@@ -27,13 +27,13 @@
 
     /// Takes in what the mesh knows; waits until that has changed. `false` when it won't any more.
     pub async fn learn(&self) -> bool {
-        let mut changes = self.side.known.clone();
+        let mut changes = self.side.snapshot.clone();
         changes.mark_unchanged();
         self.take(&changes.borrow());
         changes.changed().await.is_ok()
     }
 
-    fn take(&self, known: &Arc<quarantine::Known>) {
+    fn take(&self, known: &Arc<quarantine::Snapshot>) {
         self.side.counts.held.set(i64::try_from(known.held()).unwrap_or(i64::MAX));
         self.known.replace(Arc::clone(known));
     }
@@ -46,9 +46,9 @@
     /// Why, and for how much longer.
     pub fn check_entry(
         &self,
-        print: impl FnOnce() -> quarantine::Print,
+        print: impl FnOnce() -> quarantine::Fingerprint,
     ) -> Result<(), refuse::Refusal> {
-        if self.known.borrow().bans.is_empty() {
+        if self.known.borrow().entries.is_empty() {
             return Ok(());
         }
         let print = print();
@@ -60,12 +60,12 @@
     /// # Errors
     ///
     /// As [`Suspects::check_entry`].
-    pub fn check_owner(&self, print: quarantine::Print) -> Result<(), refuse::Refusal> {
+    pub fn check_owner(&self, print: quarantine::Fingerprint) -> Result<(), refuse::Refusal> {
         self.check(print, 0.0)
     }
 
-    fn check(&self, print: quarantine::Print, spread: f32) -> Result<(), refuse::Refusal> {
-        let Some(left) = self.known.borrow().left(print, spread, self.ctx.now()) else {
+    fn check(&self, print: quarantine::Fingerprint, spread: f32) -> Result<(), refuse::Refusal> {
+        let Some(left) = self.known.borrow().remaining(print, spread, self.ctx.now()) else {
             return Ok(());
         };
         self.side.counts.refused.inc();
@@ -73,7 +73,7 @@
     }
 
     /// How late this host lets `print` go, as a share of its term: another one at each host.
-    fn spread(&self, print: quarantine::Print) -> f32 {
+    fn spread(&self, print: quarantine::Fingerprint) -> f32 {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&print.0.to_le_bytes());
         hasher.update(self.me.to_string().as_bytes());
@@ -84,26 +84,26 @@
 
     /// Whether upstreams have ended under `print` so often that it may be what ends them. Two such
     /// requests don't run beside each other, so that the next end tells them apart.
-    pub fn is_suspect(&self, print: quarantine::Print) -> bool {
-        self.known.borrow().ends(print) >= quarantine::SUSPECT
+    pub fn is_suspect(&self, print: quarantine::Fingerprint) -> bool {
+        self.known.borrow().crashes(print) >= quarantine::SUSPICION_THRESHOLD
     }
 
     /// The upstream beside this node answered `print` and lived on.
-    pub fn answered(&self, print: quarantine::Print) {
+    pub fn answered(&self, print: quarantine::Fingerprint) {
         self.proven.borrow_mut().note(print, self.ctx.now());
-        if self.known.borrow().blames(print) {
+        if self.known.borrow().is_suspected(print) {
             // A full ring drops it; the next answer says the same.
-            let _ = self.side.reports.offer(quarantine::Report::Cleared(print));
+            let _ = self.side.reports.offer(quarantine::Report::Answered(print));
         }
     }
 
     /// The upstream beside this node has ended under `prints`. Those that it answered a moment ago are
     /// not to blame.
-    pub fn ended(&self, prints: &[quarantine::Print]) {
-        self.side.counts.ends.inc();
+    pub fn ended(&self, prints: &[quarantine::Fingerprint]) {
+        self.side.counts.crashes.inc();
         let (proven, now) = (self.proven.borrow(), self.ctx.now());
         let prints = prints.iter().copied().filter(|print| !proven.has(*print, now)).collect();
-        if self.side.reports.offer(quarantine::Report::Ended(prints)).is_err() {
+        if self.side.reports.offer(quarantine::Report::Crashed(prints)).is_err() {
             log::warn!("the end of an upstream is not told, since too many reports wait");
         }
     }
--- a/src/proxy/trace.rs
+++ b/src/proxy/trace.rs
@@ -225,9 +225,9 @@
 
     /// The end of the upstream beside this node, while requests with the fingerprints `prints` ran
     /// there. Upstreams end too seldom for a bound on the lines.
-    pub fn upstream_ended(&self, instance: &str, life: u32, prints: &[quarantine::Print]) {
+    pub fn upstream_ended(&self, instance: &str, life: u32, prints: &[quarantine::Fingerprint]) {
         let names: Vec<_> =
-            prints.iter().take(quarantine::PRINTS).map(ToString::to_string).collect();
+            prints.iter().take(quarantine::MAX_FINGERPRINTS).map(ToString::to_string).collect();
         let names = names.join(" ");
         log::warn!(
             instance,
--- a/src/quarantine/channel.rs
+++ b/src/quarantine/channel.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     /// Ends of the upstream beside it under calls.
-    pub ends: counter::Counter,
+    pub crashes: counter::Counter,
     /// Calls refused here.
     pub refused: counter::Counter,
     /// Requests that the mesh holds responsible.
@@ -30,7 +30,7 @@
     /// What they find out.
     pub reports: ring::Sender<quarantine::Report>,
     /// What the mesh knows.
-    pub known: watch::Receiver<Arc<quarantine::Known>>,
+    pub snapshot: watch::Receiver<Arc<quarantine::Snapshot>>,
     /// Counts.
     pub counts: Counts,
 }
@@ -41,13 +41,13 @@
     /// What the calls find out.
     pub reports: ring::Receiver<quarantine::Report>,
     /// What the mesh knows.
-    pub known: watch::Sender<Arc<quarantine::Known>>,
+    pub snapshot: watch::Sender<Arc<quarantine::Snapshot>>,
 }
 
 /// Both sides.
 pub fn channel() -> (CallSide, MemberSide) {
     let (sender, reports) = ring::bounded(REPORTS);
     let (publish, known) = watch::channel(Arc::default());
-    let calls = CallSide { reports: sender, known, counts: Counts::default() };
-    (calls, MemberSide { reports, known: publish })
+    let calls = CallSide { reports: sender, snapshot: known, counts: Counts::default() };
+    (calls, MemberSide { reports, snapshot: publish })
 }
--- a/src/quarantine/ban.rs
+++ b/src/quarantine/entry.rs
@@ -20,19 +20,19 @@
 /// Invariant: of two that stand for the same request the later one holds, and of two of one moment the
 /// one with more ends.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Ban {
+pub struct Entry {
     /// Upstreams that ended under it.
-    pub ends: u8,
+    pub crashes: u8,
     /// Whether an upstream has answered it since.
-    pub cleared: bool,
+    pub lifted: bool,
     /// When the last of them ended, or answered it.
     pub last: clock::Instant,
 }
 
-impl Ban {
+impl Entry {
     /// For how long the request is refused after the last end.
     fn term(&self) -> time::Duration {
-        let more = u32::from(self.ends.saturating_sub(quarantine::PROOFS));
+        let more = u32::from(self.crashes.saturating_sub(quarantine::THRESHOLD));
         TERM * (1 << more.min(DOUBLINGS))
     }
 
@@ -40,19 +40,19 @@
     /// after the first one does; `None` when it is not.
     ///
     /// Hosts let it go one after the other: a trial of the first tells the others.
-    pub fn left(&self, spread: f32, now: clock::Instant) -> Option<time::Duration> {
+    pub fn remaining(&self, spread: f32, now: clock::Instant) -> Option<time::Duration> {
         let held = self.term() + self.term().mul_f32(spread.clamp(0.0, 1.0));
         let left = held.saturating_sub(now.since(self.last));
-        (!self.cleared && !left.is_zero()).then_some(left)
+        (!self.lifted && !left.is_zero()).then_some(left)
     }
 
     /// Whether it says nothing any more. An end in the term after the ban continues it.
-    pub fn is_over(&self, now: clock::Instant) -> bool {
+    pub fn is_expired(&self, now: clock::Instant) -> bool {
         now.since(self.last) > 3 * self.term()
     }
 
     /// Whether it goes before `other`, which is held of the same request.
-    pub fn beats(&self, other: &Self) -> bool {
+    pub fn supersedes(&self, other: &Self) -> bool {
         let later = self.last.since(other.last);
         let earlier = other.last.since(self.last);
         if later.max(earlier) <= SAME { self.weight() > other.weight() } else { later > SAME }
@@ -60,6 +60,6 @@
 
     /// Order among bans of one moment: an answer came after the end that it excuses.
     const fn weight(&self) -> (bool, u8) {
-        (self.cleared, self.ends)
+        (self.lifted, self.crashes)
     }
 }
--- a/src/quarantine/print.rs
+++ b/src/quarantine/fingerprint.rs
@@ -14,9 +14,9 @@
 ///
 /// It is keyed, so that nobody outside can make a request with the fingerprint of another one.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Print(pub u64);
+pub struct Fingerprint(pub u64);
 
-impl fmt::Display for Print {
+impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
@@ -33,11 +33,11 @@
 
 /// Makes the fingerprints of one mesh.
 #[derive(Clone)]
-pub struct Printer {
+pub struct Fingerprinter {
     key: [u8; blake3::KEY_LEN],
 }
 
-impl Printer {
+impl Fingerprinter {
     /// A printer for the mesh of `seal`.
     pub fn new(seal: &seal::Seal) -> Self {
         Self { key: seal.derive(DOMAIN) }
@@ -45,7 +45,7 @@
 
     /// The fingerprint of a request: the method, the host that it names, the path with its query and the
     /// body.
-    pub fn print(&self, method: &str, host: &str, path: &str, body: Body<'_>) -> Print {
+    pub fn fingerprint(&self, method: &str, host: &str, path: &str, body: Body<'_>) -> Fingerprint {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         for text in [method, &host.to_ascii_lowercase(), path] {
             hasher.update(&(text.len() as u64).to_le_bytes());
@@ -58,6 +58,6 @@
         };
         let mut first = [0; 8];
         first.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
-        Print(u64::from_le_bytes(first))
+        Fingerprint(u64::from_le_bytes(first))
     }
 }
--- a/src/quarantine/proven.rs
+++ b/src/quarantine/proven.rs
@@ -15,25 +15,25 @@
 #[derive(Debug, Default)]
 pub struct Proven {
     /// Empty until the first answer.
-    places: Vec<(quarantine::Print, clock::Instant)>,
+    places: Vec<(quarantine::Fingerprint, clock::Instant)>,
 }
 
 impl Proven {
     /// An upstream answered `print` at `now` and lived on.
-    pub fn note(&mut self, print: quarantine::Print, now: clock::Instant) {
+    pub fn note(&mut self, print: quarantine::Fingerprint, now: clock::Instant) {
         if self.places.is_empty() {
-            self.places = vec![(quarantine::Print(0), clock::Instant::ZERO); PLACES];
+            self.places = vec![(quarantine::Fingerprint(0), clock::Instant::ZERO); PLACES];
         }
         self.places[place(print)] = (print, now);
     }
 
     /// Whether `print` was answered a short time before `now`.
-    pub fn has(&self, print: quarantine::Print, now: clock::Instant) -> bool {
+    pub fn has(&self, print: quarantine::Fingerprint, now: clock::Instant) -> bool {
         let found = self.places.get(place(print)).filter(|(known, _)| *known == print);
         found.is_some_and(|(_, at)| *at > clock::Instant::ZERO && now.since(*at) <= FRESH)
     }
 }
 
-fn place(print: quarantine::Print) -> usize {
+fn place(print: quarantine::Fingerprint) -> usize {
     usize::try_from(print.0 % PLACES as u64).unwrap_or_default()
 }
--- a/src/quarantine/known.rs
+++ b/src/quarantine/snapshot.rs
@@ -8,36 +8,36 @@
 
 /// The snapshot.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Known {
+pub struct Snapshot {
     /// What is held against requests, or for them.
-    pub bans: collections::HashMap<quarantine::Print, quarantine::Ban>,
+    pub entries: collections::HashMap<quarantine::Fingerprint, quarantine::Entry>,
     /// Upstreams that ended under a request since one last answered it.
-    pub ends: collections::HashMap<quarantine::Print, u8>,
+    pub crashes: collections::HashMap<quarantine::Fingerprint, u8>,
 }
 
-impl Known {
+impl Snapshot {
     /// How many requests are held responsible for ends.
     pub fn held(&self) -> usize {
-        self.bans.values().filter(|ban| !ban.cleared).count()
+        self.entries.values().filter(|ban| !ban.lifted).count()
     }
 
-    /// For how much longer `print` is refused, see [`quarantine::Ban::left`].
-    pub fn left(
+    /// For how much longer `print` is refused, see [`quarantine::Entry::remaining`].
+    pub fn remaining(
         &self,
-        print: quarantine::Print,
+        print: quarantine::Fingerprint,
         spread: f32,
         now: clock::Instant,
     ) -> Option<time::Duration> {
-        self.bans.get(&print)?.left(spread, now)
+        self.entries.get(&print)?.remaining(spread, now)
     }
 
     /// How many upstreams have ended under `print`, as far as no other request is held responsible.
-    pub fn ends(&self, print: quarantine::Print) -> u8 {
-        self.ends.get(&print).copied().unwrap_or_default()
+    pub fn crashes(&self, print: quarantine::Fingerprint) -> u8 {
+        self.crashes.get(&print).copied().unwrap_or_default()
     }
 
     /// Whether something is held against `print` that an answer would clear.
-    pub fn blames(&self, print: quarantine::Print) -> bool {
-        self.ends.contains_key(&print) || self.bans.get(&print).is_some_and(|ban| !ban.cleared)
+    pub fn is_suspected(&self, print: quarantine::Fingerprint) -> bool {
+        self.crashes.contains_key(&print) || self.entries.get(&print).is_some_and(|ban| !ban.lifted)
     }
 }
--- a/src/quarantine/tests/print.rs
+++ b/src/quarantine/tests/fingerprint.rs
@@ -6,15 +6,17 @@
 use crate::quarantine::Body;
 use crate::seal;
 
-fn printer(key: &str) -> quarantine::Printer {
-    quarantine::Printer::new(&seal::Seal::new("mesh", key))
+fn printer(key: &str) -> quarantine::Fingerprinter {
+    quarantine::Fingerprinter::new(&seal::Seal::new("mesh", key))
 }
 
 #[test]
 fn a_request_has_the_same_print_at_every_node() {
-    let ask = |p: &quarantine::Printer| p.print("GET", "Shop.test", "/a?b", Body::Whole(b"c"));
+    let ask = |p: &quarantine::Fingerprinter| {
+        p.fingerprint("GET", "Shop.test", "/a?b", Body::Whole(b"c"))
+    };
     assert_eq!(ask(&printer("key")), ask(&printer("key")));
-    let lower = printer("key").print("GET", "shop.test", "/a?b", Body::Whole(b"c"));
+    let lower = printer("key").fingerprint("GET", "shop.test", "/a?b", Body::Whole(b"c"));
     assert_eq!(ask(&printer("key")), lower, "hosts are the same in any case");
     assert_ne!(ask(&printer("key")), ask(&printer("another")));
 }
@@ -35,6 +37,6 @@
     #[case] body: Body<'_>,
 ) {
     let printer = printer("key");
-    let first = printer.print("GET", "shop.test", "/a?b", Body::Whole(b"c"));
-    assert_ne!(printer.print(method, host, path, body), first);
+    let first = printer.fingerprint("GET", "shop.test", "/a?b", Body::Whole(b"c"));
+    assert_ne!(printer.fingerprint(method, host, path, body), first);
 }
--- a/src/quarantine/tests/innocents.rs
+++ b/src/quarantine/tests/innocents.rs
@@ -12,7 +12,7 @@
 use super::{BAD, at, host};
 use crate::clock;
 use crate::quarantine;
-use crate::quarantine::Print;
+use crate::quarantine::Fingerprint;
 
 /// Time of one step.
 const STEP: time::Duration = time::Duration::from_millis(5);
@@ -49,7 +49,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Call {
-    print: Print,
+    print: Fingerprint,
     until: u64,
     tries: u8,
 }
@@ -67,9 +67,9 @@
 #[derive(Debug, Default)]
 struct News {
     table: quarantine::Table,
-    known: quarantine::Known,
-    ends: collections::VecDeque<(u64, quarantine::End)>,
-    answers: collections::VecDeque<(u64, Print, clock::Instant)>,
+    known: quarantine::Snapshot,
+    ends: collections::VecDeque<(u64, quarantine::Crash)>,
+    answers: collections::VecDeque<(u64, Fingerprint, clock::Instant)>,
 }
 
 impl News {
@@ -83,7 +83,7 @@
             self.table.clear(print, at);
         }
         if ends + answers > 0 {
-            self.known = self.table.known();
+            self.known = self.table.snapshot();
         }
     }
 }
@@ -114,7 +114,7 @@
     /// When the third upstream ended under the bad request.
     proven: Option<u64>,
     sum: Sum,
-    convicted: collections::HashSet<Print>,
+    convicted: collections::HashSet<Fingerprint>,
 }
 
 impl Model {
@@ -159,7 +159,7 @@
             self.next += 1;
             let print = if popular { 100 + self.rng.random_range(0..5) } else { self.next };
             self.sum.harmless += 1;
-            self.send(Call { print: Print(print), until: step + RUN, tries: 0 }, step);
+            self.send(Call { print: Fingerprint(print), until: step + RUN, tries: 0 }, step);
         }
         if self.rng.random_bool(self.plan.bad) {
             self.send(Call { print: BAD, until: step + RUN, tries: 0 }, step);
@@ -168,7 +168,7 @@
 
     /// Sends a call to an upstream with room, if there is one that may run it.
     fn send(&mut self, call: Call, step: u64) {
-        if self.news.known.left(call.print, 0.0, now(step)).is_some() {
+        if self.news.known.remaining(call.print, 0.0, now(step)).is_some() {
             if call.print != BAD {
                 self.sum.refused += 1;
                 self.convicted.insert(call.print);
@@ -176,7 +176,7 @@
             return;
         }
         let known = &self.news.known;
-        let suspect = |print: Print| known.ends(print) >= quarantine::SUSPECT;
+        let suspect = |print: Fingerprint| known.crashes(print) >= quarantine::SUSPICION_THRESHOLD;
         let free = (0..self.places.len()).filter(|index| {
             let place = &self.places[*index];
             let apart = !suspect(call.print)
@@ -197,7 +197,7 @@
             if place.running.iter().any(|call| call.print == BAD && call.until <= step) {
                 self.sum.bad_ends += 1;
                 self.sum.late_ends += u64::from(self.proven.is_some_and(|at| step > at + KNOWN));
-                if self.sum.bad_ends == u64::from(quarantine::PROOFS) {
+                if self.sum.bad_ends == u64::from(quarantine::THRESHOLD) {
                     self.proven = Some(step);
                 }
                 self.end(index, step);
@@ -206,7 +206,7 @@
             let done = place.running.extract_if(.., |call| call.until <= step);
             for call in done {
                 place.proven.note(call.print, now(step));
-                if self.news.known.blames(call.print) {
+                if self.news.known.is_suspected(call.print) {
                     self.news.answers.push_back((step + NEWS, call.print, now(step)));
                 }
             }
@@ -220,9 +220,9 @@
         place.gone = step + GONE;
         place.ends += 1;
         let number = place.ends;
-        let id = quarantine::EndId { host: host(index as u16), number };
+        let id = quarantine::CrashId { host: host(index as u16), number };
         let blamed = calls.iter().map(|c| c.print).filter(|p| !place.proven.has(*p, now(step)));
-        let end = quarantine::End { id, at: now(step), prints: blamed.collect() };
+        let end = quarantine::Crash { id, at: now(step), fingerprints: blamed.collect() };
         self.news.ends.push_back((step + NEWS, end));
         let tries = self.plan.tries;
         for call in calls.into_iter().filter(|call| call.tries < tries) {
--- a/src/quarantine/tests/mod.rs
+++ b/src/quarantine/tests/mod.rs
@@ -6,16 +6,16 @@
 use crate::clock;
 use crate::host;
 use crate::quarantine;
-use crate::quarantine::Print;
+use crate::quarantine::Fingerprint;
 
-mod ban;
+mod entry;
+mod fingerprint;
 mod innocents;
-mod print;
 mod proven;
 mod table;
 
 /// The request that ends upstreams.
-const BAD: Print = Print(1);
+const BAD: Fingerprint = Fingerprint(1);
 
 fn at(millis: u64) -> clock::Instant {
     clock::Instant::from_millis(millis)
@@ -27,9 +27,13 @@
 }
 
 /// The end number `number` of the upstream beside `host`, at `millis`, while `prints` ran.
-fn end(by: u16, number: u64, millis: u64, prints: &[u64]) -> quarantine::End {
-    let prints = prints.iter().copied().map(Print).collect();
-    quarantine::End { id: quarantine::EndId { host: host(by), number }, at: at(millis), prints }
+fn end(by: u16, number: u64, millis: u64, prints: &[u64]) -> quarantine::Crash {
+    let prints = prints.iter().copied().map(Fingerprint).collect();
+    quarantine::Crash {
+        id: quarantine::CrashId { host: host(by), number },
+        at: at(millis),
+        fingerprints: prints,
+    }
 }
 
 /// A table that has seen the ends of upstreams beside hosts 0, 1, ... a second apart, at which `prints`
@@ -43,8 +47,8 @@
     table
 }
 
-fn refused(table: &quarantine::Table, print: Print, now: clock::Instant) -> bool {
-    table.known().left(print, 0.0, now).is_some()
+fn refused(table: &quarantine::Table, print: Fingerprint, now: clock::Instant) -> bool {
+    table.snapshot().remaining(print, 0.0, now).is_some()
 }
 
 const SECOND: time::Duration = time::Duration::from_secs(1);
--- a/src/quarantine/tests/table.rs
+++ b/src/quarantine/tests/table.rs
@@ -8,12 +8,12 @@
 use super::{BAD, SECOND, at, end, refused, seen};
 use crate::clock;
 use crate::quarantine;
-use crate::quarantine::Print;
+use crate::quarantine::Fingerprint;
 
 const NOW: clock::Instant = clock::Instant::from_millis(10_000);
 
 fn is_refused(table: &quarantine::Table, print: u64) -> bool {
-    refused(table, Print(print), NOW)
+    refused(table, Fingerprint(print), NOW)
 }
 
 #[test]
@@ -45,7 +45,7 @@
 fn a_harmless_request_beside_the_bad_one_is_spared_while_either_explains_the_ends() {
     let table = seen(&[&[1, 2], &[1, 2], &[1, 2]]);
     assert!(!is_refused(&table, 1) && !is_refused(&table, 2), "nobody can tell them apart yet");
-    assert_eq!(table.known().ends(Print(2)), 3, "so that they run apart");
+    assert_eq!(table.snapshot().crashes(Fingerprint(2)), 3, "so that they run apart");
     let table = seen(&[&[1, 2], &[1, 2], &[1, 2], &[1, 3]]);
     assert!(is_refused(&table, 1) && !is_refused(&table, 2));
 }
@@ -59,15 +59,15 @@
 #[test]
 fn an_answer_speaks_for_a_request_at_any_time() {
     let mut table = seen(&[&[7, 2], &[7, 3]]);
-    assert_eq!(table.clear(Print(7), at(2500)), 2);
+    assert_eq!(table.clear(Fingerprint(7), at(2500)), 2);
     table.note(end(8, 0, 3000, &[7, 4]), at(3000));
     assert!(!is_refused(&table, 7), "only one end since then");
-    assert_eq!(table.known().ends(Print(7)), 1);
+    assert_eq!(table.snapshot().crashes(Fingerprint(7)), 1);
     let mut table = seen(&[&[7], &[7], &[7]]);
     assert!(is_refused(&table, 7));
-    assert_eq!(table.clear(Print(7), at(5000)), 3);
+    assert_eq!(table.clear(Fingerprint(7), at(5000)), 3);
     assert!(!is_refused(&table, 7));
-    assert_eq!(table.clear(Print(8), at(5000)), 0, "nothing was held against it");
+    assert_eq!(table.clear(Fingerprint(8), at(5000)), 0, "nothing was held against it");
 }
 
 #[test]
@@ -75,7 +75,7 @@
     let ends: &[&[u64]] = &[&[1, 7], &[1, 7], &[7, 3], &[1, 7], &[7, 4]];
     let mut table = seen(ends);
     assert!(is_refused(&table, 7) && !is_refused(&table, 1));
-    table.clear(Print(7), at(6000));
+    table.clear(Fingerprint(7), at(6000));
     assert!(is_refused(&table, 1), "three of the ends are left to explain");
 }
 
@@ -85,8 +85,8 @@
     for number in 0..10 {
         let millis = 1000 * (1 + u64::from(number));
         table.note(end(number, 0, millis, &[7, 100 + u64::from(number)]), at(millis));
-        assert!(!refused(&table, Print(7), at(millis)));
-        table.clear(Print(7), at(millis + 500));
+        assert!(!refused(&table, Fingerprint(7), at(millis)));
+        table.clear(Fingerprint(7), at(millis + 500));
     }
 }
 
@@ -96,11 +96,11 @@
 #[case::when_the_first_ends_are_forgotten(610, 300)]
 fn one_more_end_refuses_it_anew(#[case] after: u32, #[case] seconds: u32) {
     let mut table = seen(&[&[1], &[1], &[1]]);
-    assert_eq!(table.known().left(BAD, 0.0, at(3000)), Some(300 * SECOND));
+    assert_eq!(table.snapshot().remaining(BAD, 0.0, at(3000)), Some(300 * SECOND));
     let later = at(3000) + SECOND * after;
     assert_eq!(refused(&table, BAD, later), after < 300);
     table.note(end(9, 0, later.as_micros() / 1000, &[1, 2]), later);
-    assert_eq!(table.known().left(BAD, 0.0, later), Some(seconds * SECOND));
+    assert_eq!(table.snapshot().remaining(BAD, 0.0, later), Some(seconds * SECOND));
 }
 
 #[test]
@@ -119,13 +119,13 @@
         table.note(end(20, number, 4000 + number, &prints), at(4000 + number));
     }
     assert!(refused(&table, BAD, at(15_000)), "what is proven goes last");
-    let known = table.known();
-    assert!(known.ends.len() <= 256 * quarantine::PRINTS, "{}", known.ends.len());
+    let known = table.snapshot();
+    assert!(known.crashes.len() <= 256 * quarantine::MAX_FINGERPRINTS, "{}", known.crashes.len());
     for number in 0..5000 {
-        let ban = quarantine::Ban { ends: 3, cleared: false, last: at(15_000) };
-        table.merge(Print(1_000_000 + number), ban, at(15_000));
+        let ban = quarantine::Entry { crashes: 3, lifted: false, last: at(15_000) };
+        table.merge(Fingerprint(1_000_000 + number), ban, at(15_000));
     }
-    assert!(table.bans().count() <= 1024);
+    assert!(table.entries().count() <= 1024);
 }
 
 proptest! {
@@ -152,7 +152,7 @@
         let mut second = quarantine::Table::default();
         shuffled.iter().for_each(|end| { second.note(end.clone(), NOW); });
         let names = |table: &quarantine::Table| {
-            table.proven().map(|(print, _)| print).collect::<Vec<_>>()
+            table.quarantined().map(|(print, _)| print).collect::<Vec<_>>()
         };
         if names(&first) == [BAD] {
             prop_assert_eq!(first.digest(), second.digest());
@@ -174,8 +174,8 @@
     #[case] holds: bool,
 ) {
     let mut table = quarantine::Table::default();
-    let known = quarantine::Ban { ends: 3, cleared: false, last: at(1000) };
+    let known = quarantine::Entry { crashes: 3, lifted: false, last: at(1000) };
     assert!(table.merge(BAD, known, at(1000)));
-    let other = quarantine::Ban { ends, cleared, last: at(millis) };
+    let other = quarantine::Entry { crashes: ends, lifted: cleared, last: at(millis) };
     assert_eq!(table.merge(BAD, other, at(2000)), holds);
 }
--- a/tests/calls/quarantine.rs
+++ b/tests/calls/quarantine.rs
@@ -6,7 +6,7 @@
 
 use dandelionspool::clock;
 use dandelionspool::quarantine;
-use dandelionspool::quarantine::{Body, Print, Report};
+use dandelionspool::quarantine::{Body, Fingerprint, Report};
 use dandelionspool::seal;
 use rstest::rstest;
 
@@ -14,17 +14,20 @@
 use crate::fake::Step;
 use crate::rig;
 
-fn print(path: &str) -> Print {
-    let printer = quarantine::Printer::new(&seal::Seal::new("calls", "secret"));
-    printer.print("GET", "shop.test", path, Body::Whole(b""))
+fn print(path: &str) -> Fingerprint {
+    let printer = quarantine::Fingerprinter::new(&seal::Seal::new("calls", "secret"));
+    printer.fingerprint("GET", "shop.test", path, Body::Whole(b""))
 }
 
 /// Has `node` know that `ends` upstreams ended under `path`, which is refused for it or not.
 async fn tell(node: &rig::Node, path: &str, ends: u8, refused: bool) {
-    let ban = quarantine::Ban { ends, cleared: false, last: clock::Instant::from_millis(1) };
+    let ban =
+        quarantine::Entry { crashes: ends, lifted: false, last: clock::Instant::from_millis(1) };
     let bans = refused.then_some((print(path), ban)).into_iter().collect();
     let ends = collections::HashMap::from([(print(path), ends)]);
-    node.quarantine.known.send_replace(Arc::new(quarantine::Known { bans, ends }));
+    node.quarantine
+        .snapshot
+        .send_replace(Arc::new(quarantine::Snapshot { entries: bans, crashes: ends }));
     tokio::time::sleep(time::Duration::from_millis(30)).await;
 }
 
@@ -71,7 +74,7 @@
             assert_eq!(browse(&nodes[0], path, id).await.outcome(), "ran");
         }
         let report = nodes[0].quarantine.reports.try_recv().ok();
-        assert_eq!(report, clears.then(|| Report::Cleared(print("/browse?bad"))));
+        assert_eq!(report, clears.then(|| Report::Answered(print("/browse?bad"))));
     });
 }
 
@@ -96,7 +99,7 @@
             crash
         );
         assert_eq!((popular.outcome(), bad.outcome()), ("unknown", "unknown"));
-        let Some(Report::Ended(mut prints)) = nodes[0].quarantine.reports.recv().await else {
+        let Some(Report::Crashed(mut prints)) = nodes[0].quarantine.reports.recv().await else {
             panic!("an end was to be told")
         };
         let mut wanted = [print("/browse?bad"), print("/browse?other")];
@@ -115,9 +118,10 @@
         };
         let fake = fake::Fake::start(script).await;
         let nodes = rig::nodes(&[Some(fake.address)], &rig::Claims::default()).await;
-        let ends = ["/browse?a", "/browse?b"].map(|path| (print(path), quarantine::SUSPECT));
-        let known = quarantine::Known { ends: ends.into(), ..Default::default() };
-        nodes[0].quarantine.known.send_replace(Arc::new(known));
+        let ends =
+            ["/browse?a", "/browse?b"].map(|path| (print(path), quarantine::SUSPICION_THRESHOLD));
+        let known = quarantine::Snapshot { crashes: ends.into(), ..Default::default() };
+        nodes[0].quarantine.snapshot.send_replace(Arc::new(known));
         tokio::time::sleep(time::Duration::from_millis(30)).await;
         let later = async {
             rig::until(|| fake.runs("a") == 1).await;
--- a/tests/member/quarantine.rs
+++ b/tests/member/quarantine.rs
@@ -4,7 +4,7 @@
 
 use dandelionspool::member;
 use dandelionspool::quarantine;
-use dandelionspool::quarantine::Print;
+use dandelionspool::quarantine::Fingerprint;
 use rstest::rstest;
 
 use crate::net;
@@ -12,19 +12,19 @@
 const HOSTS: usize = 12;
 /// Longest until every host that is in touch refuses a request after the third end under it.
 const KNOWN: time::Duration = time::Duration::from_secs(3);
-const BAD: Print = Print(1);
+const BAD: Fingerprint = Fingerprint(1);
 
 /// The upstream of host `index` ends while `BAD` and eight requests of its own run.
 fn end(net: &mut net::Net, index: usize) {
-    let beside = (0..8).map(|n| Print(1000 + 8 * index as u64 + n));
+    let beside = (0..8).map(|n| Fingerprint(1000 + 8 * index as u64 + n));
     let prints = beside.chain([BAD]).collect();
-    net.handle(index, member::Event::Report(quarantine::Report::Ended(prints)));
+    net.handle(index, member::Event::Report(quarantine::Report::Crashed(prints)));
 }
 
 /// How long host `index` refuses `print` for.
-fn left(net: &mut net::Net, index: usize, print: Print) -> Option<time::Duration> {
+fn left(net: &mut net::Net, index: usize, print: Fingerprint) -> Option<time::Duration> {
     let now = net.now;
-    net.slots[index].member.as_mut()?.known().left(print, 0.0, now)
+    net.slots[index].member.as_mut()?.snapshot().remaining(print, 0.0, now)
 }
 
 /// The running hosts that let `BAD` pass.
@@ -59,7 +59,7 @@
     let took = net.until(KNOWN, |net| unaware(net).is_empty()).expect("all know in time");
     println!("seed {seed}, loss {loss}: after {took:?}");
     for index in 0..HOSTS {
-        assert_eq!(left(&mut net, index, Print(1000)), None, "what ran beside it passes");
+        assert_eq!(left(&mut net, index, Fingerprint(1000)), None, "what ran beside it passes");
     }
 }
 
@@ -119,7 +119,7 @@
 #[test]
 fn an_answer_takes_the_refusal_back_everywhere() {
     let mut net = warned(HOSTS, 7);
-    net.handle(9, member::Event::Report(quarantine::Report::Cleared(BAD)));
+    net.handle(9, member::Event::Report(quarantine::Report::Answered(BAD)));
     net.run(KNOWN);
     assert_eq!(unaware(&mut net).len(), HOSTS);
     net.run(time::Duration::from_secs(30));
@@ -152,8 +152,8 @@
     for round in 0..120u64 {
         for index in 0..HOSTS {
             let first = 100_000 + 1000 * round + 10 * index as u64;
-            let prints = (0..9).map(|n| Print(first + n)).collect();
-            net.handle(index, member::Event::Report(quarantine::Report::Ended(prints)));
+            let prints = (0..9).map(|n| Fingerprint(first + n)).collect();
+            net.handle(index, member::Event::Report(quarantine::Report::Crashed(prints)));
             net.run(time::Duration::from_millis(416));
         }
     }
