--- a/benches/call_path.rs
+++ b/benches/call_path.rs
@@ -109,7 +109,7 @@
     view: Arc<view::View>,
 ) -> Duty {
     let mesh = Arc::new(mesh::check::check(CONFIG.as_bytes()).unwrap());
-    let stamp = version::Stamp { version: version::Version::new(1), ..Default::default() };
+    let stamp = version::VersionId { version: version::Version::new(1), ..Default::default() };
     let settings = configs::Node {
         mesh: "bench".into(),
         key: "secret".into(),
@@ -121,7 +121,7 @@
             Arc::new(node::Local { address, instance: Default::default(), upstream: shop() })
         });
         let wiring = wiring::Wiring {
-            applied: watch::channel(Arc::new(mesh::Applied { stamp, mesh })).1,
+            applied: watch::channel(Arc::new(mesh::Applied { version_id: stamp, mesh })).1,
             view: watch::channel(view).1,
             local: watch::channel(local).1,
             stage: watch::channel(node::Stage::Run).1,
--- a/src/admin/announce.rs
+++ b/src/admin/announce.rs
@@ -301,7 +301,7 @@
             connections: announcement.connections.min(class.connections),
             life: *life,
             version: announcement.version.clone(),
-            trial: rollout::Trial::default(),
+            trial: rollout::TrialReport::default(),
         };
         Some(node::Local { address: announcement.address, instance: instance.clone(), upstream })
     }
--- a/src/admin/shell.rs
+++ b/src/admin/shell.rs
@@ -37,7 +37,7 @@
     /// The known hosts.
     pub view: watch::Receiver<Arc<view::View>>,
     /// From the call path: what was seen of that upstream while its version is tried.
-    pub trial: watch::Receiver<rollout::Trial>,
+    pub trial: watch::Receiver<rollout::TrialReport>,
     /// Where the upstream beside this node is put; `None` while there is none.
     pub local: watch::Sender<Option<Arc<node::Local>>>,
     /// Whether the log answers, see [`reach::Watched`].
@@ -124,7 +124,7 @@
                 if changed.is_err() {
                     return;
                 }
-                let runs = applied.borrow_and_update().stamp.version.number() > 0;
+                let runs = applied.borrow_and_update().version_id.version.number() > 0;
                 state.applied_unix_ms.set(runs.then(|| state.ctx.clock.unix_millis()));
             }
             _ = tick.tick() => state.desk.borrow_mut().expire(state.ctx.now()),
--- a/src/admin/state.rs
+++ b/src/admin/state.rs
@@ -33,7 +33,7 @@
     pub(super) settings: configs::admin::Admin,
     pub(super) applied: watch::Receiver<Arc<mesh::Applied>>,
     pub(super) view: watch::Receiver<Arc<view::View>>,
-    pub(super) trial: watch::Receiver<rollout::Trial>,
+    pub(super) trial: watch::Receiver<rollout::TrialReport>,
     pub(super) local: watch::Sender<Option<Arc<node::Local>>>,
     pub(super) reach: watch::Receiver<reach::Reach>,
     pub(super) metrics: metrics::Metrics,
@@ -114,7 +114,7 @@
     /// Whether the node may take calls.
     pub fn readiness(&self) -> Readiness {
         Readiness {
-            configured: self.applied.borrow().stamp.version.number() > 0,
+            configured: self.applied.borrow().version_id.version.number() > 0,
             member: self.view.borrow().standing == view::Standing::Member,
             running: *self.stage.borrow() == node::Stage::Run,
         }
@@ -132,7 +132,7 @@
         let source = status::Source {
             host: self.host,
             place: &self.place,
-            stamp: self.applied.borrow().stamp,
+            version_id: self.applied.borrow().version_id,
             applied_unix_ms: self.applied_unix_ms.get(),
             view: &view,
             local: local.as_deref(),
--- a/src/admin/status.rs
+++ b/src/admin/status.rs
@@ -104,7 +104,7 @@
     /// Where it stands.
     pub place: &'a view::Place,
     /// What it runs.
-    pub stamp: version::Stamp,
+    pub version_id: version::VersionId,
     /// When it was applied.
     pub applied_unix_ms: Option<u64>,
     /// The known hosts.
@@ -129,8 +129,8 @@
             zone: self.place.zone.clone(),
             incarnation: self.view.host(self.host).map_or(0, |h| h.incarnation),
             ready: self.ready,
-            version: self.stamp.version.number(),
-            digest: self.stamp.digest.to_string(),
+            version: self.version_id.version.number(),
+            digest: self.version_id.digest.to_string(),
             applied_unix_ms: self.applied_unix_ms,
             log: self.log,
             local: self.local.map(local),
--- a/src/admin/tests/served.rs
+++ b/src/admin/tests/served.rs
@@ -72,11 +72,12 @@
 
 impl Ends {
     fn apply(&self) {
-        let stamp = version::Stamp {
+        let stamp = version::VersionId {
             version: version::Version::new(3),
             digest: version::Digest::of(b"shop"),
         };
-        self.applied.send_replace(Arc::new(mesh::Applied { stamp, mesh: Arc::new(shop()) }));
+        self.applied
+            .send_replace(Arc::new(mesh::Applied { version_id: stamp, mesh: Arc::new(shop()) }));
     }
 
     async fn get(&self, path: &str) -> (u16, String) {
--- a/src/claim/shell.rs
+++ b/src/claim/shell.rs
@@ -182,7 +182,7 @@
     let mut releases = Vec::new();
     let mut inputs = Vec::new();
     let mut end: Option<clock::Instant> = None;
-    let mut epoch = ends.applied.borrow().stamp.version.epoch();
+    let mut epoch = ends.applied.borrow().version_id.version.epoch();
     ends.view.mark_changed();
     loop {
         let wake = state.wake().since(ctx.now()).min(REST);
@@ -205,7 +205,7 @@
             state.update(view, now);
         }
         if ends.applied.has_changed().unwrap_or(false) {
-            let now_in = ends.applied.borrow_and_update().stamp.version.epoch();
+            let now_in = ends.applied.borrow_and_update().version_id.version.epoch();
             if now_in > std::mem::replace(&mut epoch, now_in) {
                 state.restored(now);
             }
--- a/src/cli/publish.rs
+++ b/src/cli/publish.rs
@@ -159,7 +159,7 @@
     }
 }
 
-fn accepted(args: &Args, stamp: version::Stamp, repeated: bool, publish_id: String) {
+fn accepted(args: &Args, stamp: version::VersionId, repeated: bool, publish_id: String) {
     let version = stamp.version.number();
     let digest = stamp.digest.to_string();
     print(args, &Verdict::Accepted { version, digest, publish_id, repeated });
--- a/src/fold/memory.rs
+++ b/src/fold/memory.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Outcome {
     /// It became a version.
-    Accepted(version::Stamp),
+    Accepted(version::VersionId),
     /// It was made from another version than the current one.
     Conflict {
         /// The version current then.
--- a/src/fold/mod.rs
+++ b/src/fold/mod.rs
@@ -25,10 +25,10 @@
 #[derive(Clone, Debug)]
 pub struct Accepted {
     /// Its version and digest.
-    pub stamp: version::Stamp,
+    pub version_id: version::VersionId,
     /// Format of its file, whose rules it obeys.
     pub format: u16,
-    /// Its file as published; `stamp.digest` is its digest.
+    /// Its file as published; `version_id.digest` is its digest.
     pub body: Bytes,
     /// What the file says.
     pub mesh: Arc<mesh::Mesh>,
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Verdict<F> {
     /// A publish that is now the current version.
-    Accepted(version::Stamp),
+    Accepted(version::VersionId),
     /// A publish made from another version than the current one; no effect.
     Conflict {
         /// The current version.
@@ -55,11 +55,11 @@
         first: memory::Outcome,
     },
     /// A snapshot that gave the state; read on from [`Fold::next`], which has moved back.
-    Adopted(version::Stamp),
+    Adopted(version::VersionId),
     /// A snapshot of a state that is known already; no effect.
-    Known(version::Stamp),
+    Known(version::VersionId),
     /// A snapshot that contradicts itself or the known state; no effect.
-    Disputed(version::Stamp),
+    Disputed(version::VersionId),
     /// A publish seen while the state before it is not known; a snapshot will tell.
     Unjudged,
     /// A record of a format this build does not know; the state after it is not known.
@@ -127,7 +127,7 @@
 
     /// The accepted version, [`version::Version::NONE`] when there is none.
     pub fn version(&self) -> version::Version {
-        self.current.as_ref().map_or(version::Version::NONE, |c| c.stamp.version)
+        self.current.as_ref().map_or(version::Version::NONE, |c| c.version_id.version)
     }
 
     /// Offset to read from.
@@ -207,7 +207,7 @@
         };
         let snapshot = record::Snapshot {
             format: accepted.format,
-            stamp: accepted.stamp,
+            version_id: accepted.version_id,
             through: self.next,
             memory: self.memory.clone(),
             body: accepted.body.clone(),
@@ -238,10 +238,10 @@
 
     fn accept(&mut self, publish: record::Publish, mesh: mesh::Mesh) -> Verdict<R::Faults> {
         let version = version::Version::new(self.next);
-        let stamp = version::Stamp { version, digest: version::Digest::of(&publish.body) };
+        let stamp = version::VersionId { version, digest: version::Digest::of(&publish.body) };
         self.memory.put(publish.id, memory::Outcome::Accepted(stamp));
         self.current = Some(Accepted {
-            stamp,
+            version_id: stamp,
             format: publish.format,
             body: publish.body,
             mesh: Arc::new(mesh),
@@ -252,7 +252,7 @@
     /// Takes a file that the log service accepted; it needs none of the records before it.
     fn settle(&mut self, settled: record::Settled) -> Verdict<R::Faults> {
         let digest = version::Digest::of(&settled.body);
-        let stamp = version::Stamp { version: settled.version, digest };
+        let stamp = version::VersionId { version: settled.version, digest };
         let mesh = match self.rules.check(settled.format, &settled.body) {
             Ok(mesh) => Arc::new(mesh),
             Err(faults) => return Verdict::Invalid { faults },
@@ -260,7 +260,8 @@
         self.gap = None;
         // The log service keeps what it accepted: no snapshot is needed for those who come later.
         self.anchor = None;
-        self.current = Some(Accepted { stamp, format: settled.format, body: settled.body, mesh });
+        self.current =
+            Some(Accepted { version_id: stamp, format: settled.format, body: settled.body, mesh });
         Verdict::Accepted(stamp)
     }
 
@@ -270,7 +271,7 @@
         unix_millis: u64,
         snapshot: record::Snapshot,
     ) -> Verdict<R::Faults> {
-        let stamp = snapshot.stamp;
+        let stamp = snapshot.version_id;
         if self.gap.is_some_and(|from| snapshot.through < from) {
             return Verdict::Unjudged;
         }
@@ -287,9 +288,9 @@
 
     /// Moves the anchor forward to `anchor`, a snapshot of `stamp`. One that a publish has overtaken
     /// is left out, since its stamp can't be compared any more.
-    fn anchor_at(&mut self, anchor: Anchor, stamp: version::Stamp) {
+    fn anchor_at(&mut self, anchor: Anchor, stamp: version::VersionId) {
         let later = self.anchor.is_none_or(|a| a.through <= anchor.through);
-        if later && self.current.as_ref().is_some_and(|c| c.stamp == stamp) {
+        if later && self.current.as_ref().is_some_and(|c| c.version_id == stamp) {
             self.anchor = Some(anchor);
         }
     }
@@ -300,21 +301,26 @@
         let Some(current) = &self.current else {
             return false;
         };
-        let ours = current.stamp;
+        let ours = current.version_id;
         if self.settled() {
-            return ours.version.number() <= snapshot.through && snapshot.stamp != ours;
+            return ours.version.number() <= snapshot.through && snapshot.version_id != ours;
         }
-        let older = snapshot.stamp.version < ours.version;
-        older || snapshot.stamp.version == ours.version && snapshot.stamp != ours
+        let older = snapshot.version_id.version < ours.version;
+        older || snapshot.version_id.version == ours.version && snapshot.version_id != ours
     }
 
     fn adopt(&mut self, snapshot: record::Snapshot, anchor: Anchor) -> Verdict<R::Faults> {
-        let stamp = snapshot.stamp;
+        let stamp = snapshot.version_id;
         let Ok(mesh) = self.rules.check(snapshot.format, &snapshot.body) else {
             return Verdict::Disputed(stamp);
         };
         let mesh = Arc::new(mesh);
-        self.current = Some(Accepted { stamp, format: snapshot.format, body: snapshot.body, mesh });
+        self.current = Some(Accepted {
+            version_id: stamp,
+            format: snapshot.format,
+            body: snapshot.body,
+            mesh,
+        });
         self.memory = snapshot.memory;
         self.next = snapshot.through;
         self.gap = None;
--- a/src/fold/record.rs
+++ b/src/fold/record.rs
@@ -54,7 +54,7 @@
     /// Format of the file.
     pub format: u16,
     /// The current version.
-    pub stamp: version::Stamp,
+    pub version_id: version::VersionId,
     /// Offset of the first record that is not part of the state.
     pub through: logs::Offset,
     /// Recent publishes.
@@ -94,9 +94,21 @@
 /// Content of formats from 1 on, with compressed bodies.
 #[derive(Deserialize, Serialize)]
 enum Content {
-    Publish { base: version::Version, id: id::PublishId, frame: Bytes },
-    Snapshot { stamp: version::Stamp, through: logs::Offset, memory: memory::Memory, frame: Bytes },
-    Settled { version: version::Version, frame: Bytes },
+    Publish {
+        base: version::Version,
+        id: id::PublishId,
+        frame: Bytes,
+    },
+    Snapshot {
+        version_id: version::VersionId,
+        through: logs::Offset,
+        memory: memory::Memory,
+        frame: Bytes,
+    },
+    Settled {
+        version: version::Version,
+        frame: Bytes,
+    },
 }
 
 /// Encodes `record`, whose body has at most [`delta::FILE_BYTES`].
@@ -111,8 +123,8 @@
         }
         Record::Snapshot(s) => {
             let (memory, frame) = (s.memory.clone(), frame::compress(&s.body)?);
-            let (stamp, through) = (s.stamp, s.through);
-            (s.format, Content::Snapshot { stamp, through, memory, frame })
+            let (stamp, through) = (s.version_id, s.through);
+            (s.format, Content::Snapshot { version_id: stamp, through, memory, frame })
         }
         // Made of what the log service holds by the node that reads it, and never sent.
         Record::Settled(s) => {
@@ -141,9 +153,9 @@
         Content::Publish { base, id, frame } => {
             Record::Publish(Publish { format, base, id, body: frame::decompress(&frame)? })
         }
-        Content::Snapshot { stamp, through, memory, frame } => {
+        Content::Snapshot { version_id, through, memory, frame } => {
             let body = frame::decompress(&frame)?;
-            Record::Snapshot(Snapshot { format, stamp, through, memory, body })
+            Record::Snapshot(Snapshot { format, version_id, through, memory, body })
         }
         Content::Settled { version, frame } => {
             Record::Settled(Settled { version, format, body: frame::decompress(&frame)? })
@@ -166,8 +178,8 @@
     /// version is one that it covers, and its file is the version's.
     pub fn consistent(&self, offset: logs::Offset) -> bool {
         self.through <= offset
-            && self.stamp.version.number() <= self.through
-            && self.stamp.version > version::Version::NONE
-            && self.stamp.digest == version::Digest::of(&self.body)
+            && self.version_id.version.number() <= self.through
+            && self.version_id.version > version::Version::NONE
+            && self.version_id.digest == version::Digest::of(&self.body)
     }
 }
--- a/src/logs/mod.rs
+++ b/src/logs/mod.rs
@@ -19,22 +19,22 @@
 pub type Epoch = u64;
 
 /// Bits of an [`ordinal`] that hold the place in its stream.
-const PLACE_BITS: u32 = 40;
+const OFFSET_BITS: u32 = 40;
 
 /// A number for the record at `offset` that is higher than that of every record read before it, also of
 /// earlier epochs.
 pub const fn ordinal(epoch: Epoch, offset: Offset) -> u64 {
-    epoch << PLACE_BITS | (offset + 1)
+    epoch << OFFSET_BITS | (offset + 1)
 }
 
 /// The epoch of `ordinal`.
 pub const fn epoch(ordinal: u64) -> Epoch {
-    ordinal >> PLACE_BITS
+    ordinal >> OFFSET_BITS
 }
 
 /// The offset after the record of `ordinal`.
-pub const fn place(ordinal: u64) -> Offset {
-    ordinal & ((1 << PLACE_BITS) - 1)
+pub const fn next_offset(ordinal: u64) -> Offset {
+    ordinal & ((1 << OFFSET_BITS) - 1)
 }
 
 /// Names of the streams the system keeps.
--- a/src/member/directory/search.rs
+++ b/src/member/directory/search.rs
@@ -78,9 +78,9 @@
         host: host::HostId,
         known: logs::Epoch,
     ) -> logs::Epoch {
-        let later = applied.wait_for(|applied| applied.stamp.version.epoch() > known).await;
+        let later = applied.wait_for(|applied| applied.version_id.version.epoch() > known).await;
         // A closed channel means that the process ends.
-        let Ok(epoch) = later.map(|applied| applied.stamp.version.epoch()) else {
+        let Ok(epoch) = later.map(|applied| applied.version_id.version.epoch()) else {
             return future::pending().await;
         };
         let turn = host.weight(PURPOSE, epoch) as f64 / u64::MAX as f64;
@@ -187,7 +187,7 @@
             tokio::time::sleep(TOGETHER).await;
         }
         let (host, mut applied) = (self.own.host, self.own.applied.clone());
-        let mut epoch = applied.borrow().stamp.version.epoch();
+        let mut epoch = applied.borrow().version_id.version.epoch();
         let mut relists = false;
         let mut failures = 0;
         let mut due = tokio::time::Instant::now();
--- a/src/member/gossip.rs
+++ b/src/member/gossip.rs
@@ -52,7 +52,7 @@
 /// How pressing a change from one announcement to the next is.
 pub fn rank(old: Option<&view::Upstream>, new: Option<&view::Upstream>) -> rumors::Rank {
     let takes = |u: Option<&view::Upstream>| u.is_some_and(|u| u.phase != view::Phase::Draining);
-    let bad = |u: Option<&view::Upstream>| u.is_some_and(|u| u.trial.condemned);
+    let bad = |u: Option<&view::Upstream>| u.is_some_and(|u| u.trial.rejected);
     let urgent = (takes(old) && !takes(new)) || (bad(new) && !bad(old));
     if urgent { rumors::Rank::Urgent } else { rumors::Rank::Plain }
 }
--- a/src/member/mod.rs
+++ b/src/member/mod.rs
@@ -45,7 +45,7 @@
 
 /// A peer runs a configuration that differs from ours: newer, older or another.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Heard {
+pub struct VersionMismatch {
     /// The peer.
     pub host: host::HostId,
     /// Version it runs.
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// This node runs another configuration.
-    Applied(version::Stamp),
+    Applied(version::VersionId),
     /// A datagram of this mesh arrived.
     Datagram(Box<wire::Datagram>),
     /// The upstream beside this node announced itself, changed or is gone.
@@ -90,7 +90,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
     /// Tell the distribution duty of a peer that runs something else.
-    Heard(Heard),
+    VersionMismatch(VersionMismatch),
     /// Send a datagram.
     Send {
         /// Receiver.
@@ -108,7 +108,7 @@
     rng: rngs::Xoshiro256PlusPlus,
     now: clock::Instant,
     /// Configuration this node runs.
-    running: version::Stamp,
+    running: version::VersionId,
     /// The upstream as it announced itself.
     local: Option<Arc<view::Upstream>>,
     stage: node::Stage,
@@ -146,7 +146,7 @@
             settings: settings.member.clone(),
             rng: rngs::Xoshiro256PlusPlus::seed_from_u64(seed),
             now,
-            running: version::Stamp::default(),
+            running: version::VersionId::default(),
             local: None,
             stage: node::Stage::Run,
             table: table::Table::default(),
--- a/src/member/repair.rs
+++ b/src/member/repair.rs
@@ -50,8 +50,8 @@
         let own = self.running_here();
         let wire::Running { version, hash, root } = running;
         if (version, hash) != (own.version, own.hash) {
-            let heard = member::Heard { host: from, version, hash };
-            self.out.push(member::Action::Heard(heard));
+            let heard = member::VersionMismatch { host: from, version, hash };
+            self.out.push(member::Action::VersionMismatch(heard));
         }
         if root != own.root && self.may_repair() {
             self.repair.last = self.now;
--- a/src/member/shell.rs
+++ b/src/member/shell.rs
@@ -39,7 +39,7 @@
     pub view: watch::Sender<Arc<view::View>>,
     /// To the distribution duty: peers that run something else. Full: dropped, since the next
     /// probe says it again.
-    pub heard: ring::Sender<member::Heard>,
+    pub heard: ring::Sender<member::VersionMismatch>,
     /// The upstream beside this node.
     pub local: watch::Receiver<Option<Arc<node::Local>>>,
     /// Requests under which upstreams end.
@@ -119,7 +119,7 @@
 impl Duty {
     async fn run(mut self) {
         self.publish();
-        let (stamp, upstream) = (self.stamp(), self.upstream());
+        let (stamp, upstream) = (self.version_id(), self.upstream());
         self.handle(member::Event::Applied(stamp)).await;
         self.handle(member::Event::Local(upstream)).await;
         while *self.wiring.stage.borrow() != node::Stage::End {
@@ -139,7 +139,7 @@
                 // Whoever leads the process has ended.
                 Err(_) => node::Stage::End,
             }),
-            () = changed(&mut wiring.applied) => member::Event::Applied(self.stamp()),
+            () = changed(&mut wiring.applied) => member::Event::Applied(self.version_id()),
             () = changed(&mut wiring.local) => member::Event::Local(self.upstream()),
             hosts = self.search.next() => member::Event::Listed(hosts),
             Some(report) = wiring.quarantine.reports.recv() => member::Event::Report(report),
@@ -179,7 +179,7 @@
         for action in self.member.handle(event, self.ctx.now()) {
             match action {
                 // A full ring is counted by the ring; the next probe says the same again.
-                member::Action::Heard(heard) => drop(self.wiring.heard.offer(heard)),
+                member::Action::VersionMismatch(heard) => drop(self.wiring.heard.offer(heard)),
                 member::Action::Send { to, datagram } => self.send(to, &datagram).await,
             }
         }
@@ -208,8 +208,8 @@
         self.wiring.view.send_replace(Arc::new(self.member.view()));
     }
 
-    fn stamp(&mut self) -> version::Stamp {
-        self.wiring.applied.borrow_and_update().stamp
+    fn version_id(&mut self) -> version::VersionId {
+        self.wiring.applied.borrow_and_update().version_id
     }
 
     fn upstream(&mut self) -> Option<Arc<view::Upstream>> {
--- a/src/member/wire.rs
+++ b/src/member/wire.rs
@@ -135,7 +135,7 @@
     /// Index of the version among the names.
     pub version: u8,
     /// What its node has seen of it; `None` while it is not tried.
-    pub trial: Option<rollout::Trial>,
+    pub trial: Option<rollout::TrialReport>,
 }
 
 /// What a host says of itself.
--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -245,7 +245,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Applied {
     /// What `mesh` was built from.
-    pub stamp: version::Stamp,
-    /// The configuration; empty while the stamp's version is [`version::Version::NONE`].
+    pub version_id: version::VersionId,
+    /// The configuration; empty while the version in `version_id` is [`version::Version::NONE`].
     pub mesh: Arc<Mesh>,
 }
--- a/src/node/shell.rs
+++ b/src/node/shell.rs
@@ -203,8 +203,8 @@
         let (trial, tried) = watch::channel(Default::default());
         let rollout = self.rollout(rollout::shell::Wiring {
             statuses: self.ports.statuses(&self.settings, Arc::clone(&self.traffic)),
-            beliefs: believed,
-            said: said_in,
+            progress: believed,
+            status_list: said_in,
             view: view.clone(),
             stage: self.stage.subscribe(),
         })?;
@@ -229,7 +229,7 @@
             claims,
             dialect: self.ports.dialect(),
             quarantine: suspects,
-            rollouts: rollout::shell::Ends { beliefs, said, trial },
+            rollouts: rollout::shell::Channels { progress: beliefs, statuses: said, trial },
         })?;
         Ok((calls, vec![member, spread, ledger, admin, rollout]))
     }
--- a/src/pick/mod.rs
+++ b/src/pick/mod.rs
@@ -47,7 +47,7 @@
 /// What a call costs on its way, as the share of an upstream's slots that it is worth waiting for
 /// nearer by. 1 is one service time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Toll {
+pub struct TransferCost {
     /// To another availability zone.
     pub cross: f32,
     /// Time that its bytes take up the link of a host, in microseconds; a call that stays on its
@@ -57,9 +57,9 @@
     pub inner: bool,
 }
 
-impl Toll {
+impl TransferCost {
     /// No way costs anything.
-    pub const FREE: Toll = Toll { cross: 0.0, link: 0.0, inner: false };
+    pub const FREE: TransferCost = TransferCost { cross: 0.0, link: 0.0, inner: false };
 
     /// The toll of a call to an upstream in `tier` whose service time, in microseconds, is
     /// `service`.
--- a/src/pick/picker.rs
+++ b/src/pick/picker.rs
@@ -100,7 +100,7 @@
         now: clock::Instant,
         avoid: &[host::HostId],
     ) -> Option<pick::Choice> {
-        self.pick_far(target, pick::Toll::FREE, now, avoid)
+        self.pick_far(target, pick::TransferCost::FREE, now, avoid)
     }
 
     /// The same for a call that pays `toll` outside its own availability zone.
@@ -110,7 +110,7 @@
     pub fn pick_far(
         &mut self,
         target: pick::Target,
-        toll: pick::Toll,
+        toll: pick::TransferCost,
         now: clock::Instant,
         avoid: &[host::HostId],
     ) -> Option<pick::Choice> {
@@ -149,7 +149,7 @@
     fn pick_usual(
         &mut self,
         target: pick::Target,
-        toll: pick::Toll,
+        toll: pick::TransferCost,
         now: clock::Instant,
         avoid: &[host::HostId],
     ) -> Option<(u32, usize)> {
@@ -187,13 +187,13 @@
     /// load, the less of it has to wait by chance while another one is free. In zones of 18 upstreams a
     /// quarter to a third fewer bytes crossed and as many calls were served (full days of overload,
     /// simulated hosts).
-    fn weigh(&self, target: pick::Target, toll: pick::Toll) -> pick::Toll {
+    fn weigh(&self, target: pick::Target, toll: pick::TransferCost) -> pick::TransferCost {
         let near = self
             .table
             .list(target)
             .map_or(0, |list| (0..table::FAR).map(|tier| list.tier(tier).len()).sum());
         let factor = (near as f32 / FEW_NEAR).clamp(1.0, MOST_WEIGHT);
-        pick::Toll { cross: toll.cross * factor, ..toll }
+        pick::TransferCost { cross: toll.cross * factor, ..toll }
     }
 
     /// The best of all upstreams in the availability zone, with its cost.
@@ -203,7 +203,7 @@
     fn search(
         &self,
         target: pick::Target,
-        toll: pick::Toll,
+        toll: pick::TransferCost,
         now: clock::Instant,
         avoid: &[host::HostId],
     ) -> Option<(u32, usize, f32)> {
@@ -221,7 +221,13 @@
 
     /// What a call to `peer`, which stands in `tier`, costs beside its share of the slots: its toll, and
     /// a likely refusal.
-    fn way(&self, peer: &pick::Peer, tier: usize, toll: pick::Toll, now: clock::Instant) -> f32 {
+    fn way(
+        &self,
+        peer: &pick::Peer,
+        tier: usize,
+        toll: pick::TransferCost,
+        now: clock::Instant,
+    ) -> f32 {
         let refusal = if peer.brims(&self.rules, now) { REFUSAL } else { 0.0 };
         refusal + toll.of(tier, peer.service())
     }
--- a/src/pick/tests.rs
+++ b/src/pick/tests.rs
@@ -359,8 +359,8 @@
     }
 }
 
-fn crossing(cross: f32) -> pick::Toll {
-    pick::Toll { cross, ..pick::Toll::FREE }
+fn crossing(cross: f32) -> pick::TransferCost {
+    pick::TransferCost { cross, ..pick::TransferCost::FREE }
 }
 
 /// Share of 100 calls that stay on the entry's own host, with `busy` of its nine slots taken, when
@@ -369,8 +369,8 @@
     let settings = configs::call::Call::default();
     let mut picker = pick::Picker::new(place("a"), &settings, 7).at(id(1));
     rebuild(&mut picker, serving(&["a", "a", "a"]), 0);
-    let toll = pick::Toll { link: link_ms * 1000.0, ..pick::Toll::FREE };
-    let heavy = pick::Toll { link: 1e9, ..pick::Toll::FREE };
+    let toll = pick::TransferCost { link: link_ms * 1000.0, ..pick::TransferCost::FREE };
+    let heavy = pick::TransferCost { link: 1e9, ..pick::TransferCost::FREE };
     for _ in 0..busy {
         let choice = picker.pick_far(SHOP, heavy, at(0), &[]).expect("a choice");
         picker.started(choice, at(0));
@@ -392,7 +392,7 @@
 }
 
 /// How many calls of `toll` leave a zone whose one upstream is taken up `full` times over.
-fn crossed(toll: pick::Toll, full: u16) -> usize {
+fn crossed(toll: pick::TransferCost, full: u16) -> usize {
     let mut picker = picker(serving(&["a", "b", "b"]));
     for _ in 0..9 * full {
         let choice = picker.pick_far(SHOP, crossing(1000.0), at(0), &[]).expect("a choice");
@@ -442,7 +442,8 @@
     for full in (1..18).map(id) {
         let others: Vec<host::HostId> = (1..=36).map(id).filter(|host| *host != full).collect();
         for _ in 0..27 {
-            let choice = picker.pick_far(SHOP, pick::Toll::FREE, at(0), &others).expect("a choice");
+            let choice =
+                picker.pick_far(SHOP, pick::TransferCost::FREE, at(0), &others).expect("a choice");
             assert_eq!(choice.host, full);
             picker.started(choice, at(0));
         }
@@ -469,7 +470,8 @@
         let others: Vec<host::HostId> =
             (1..=2 * near).map(id).filter(|host| *host != full).collect();
         for _ in 0..9 * turns {
-            let choice = picker.pick_far(SHOP, pick::Toll::FREE, at(0), &others).expect("a choice");
+            let choice =
+                picker.pick_far(SHOP, pick::TransferCost::FREE, at(0), &others).expect("a choice");
             picker.started(choice, at(0));
         }
     }
@@ -525,7 +527,7 @@
 
 /// How many of 36 calls that don't end go to the second upstream.
 fn second(picker: &mut pick::Picker, inner: bool, millis: u64) -> usize {
-    let toll = pick::Toll { inner, ..pick::Toll::FREE };
+    let toll = pick::TransferCost { inner, ..pick::TransferCost::FREE };
     let mut picked = 0;
     for _ in 0..36 {
         let choice = picker.pick_far(SHOP, toll, at(millis), &[]).expect("a choice");
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -41,7 +41,7 @@
     request: http::Request<Incoming>,
 ) -> http::Response<body::Reply> {
     let (parts, incoming) = request.into_parts();
-    let (began, version) = (state.ctx.now(), state.applied.borrow().stamp.version);
+    let (began, version) = (state.ctx.now(), state.applied.borrow().version_id.version);
     let ask = ask::Ask::read(parts, state.settings.proxy.path_bytes, &state.dialect, || state.id());
     let (id, result) = match ask {
         Ok(mut ask) => {
@@ -185,7 +185,7 @@
     applied: &mesh::Applied,
     ask: &ask::Ask,
 ) -> Result<mesh::RouteKey, refuse::Refusal> {
-    if applied.stamp.version == version::Version::NONE {
+    if applied.version_id.version == version::Version::NONE {
         return Err(refuse::Refusal::not_run(retry::Reason::NotReady).again(state.pause()));
     }
     if ask.depth >= MOST_DEPTH {
--- a/src/proxy/job.rs
+++ b/src/proxy/job.rs
@@ -289,7 +289,7 @@
 fn choose<C: claim::Claims>(
     state: &state::State<C>,
     job: &Job,
-    toll: pick::Toll,
+    toll: pick::TransferCost,
     avoid: &[host::HostId],
 ) -> Option<pick::Choice> {
     let (now, service) = (state.ctx.now(), &job.service().name);
@@ -318,12 +318,12 @@
 }
 
 /// What the call costs on its way.
-fn toll<C: claim::Claims>(state: &state::State<C>, job: &Job) -> pick::Toll {
+fn toll<C: claim::Claims>(state: &state::State<C>, job: &Job) -> pick::TransferCost {
     let cheap = u64::from(state.settings.call.cross_bytes);
     let bytes = job.intake.bytes() + state.sizes.borrow().expect(&job.kind().name);
     let cross = if cheap == 0 { 0.0 } else { bytes as f32 / cheap as f32 };
     let link = inflow::link_time(&state.settings.proxy, bytes);
-    pick::Toll { cross, link, inner: job.inner }
+    pick::TransferCost { cross, link, inner: job.inner }
 }
 
 /// A body that ended early is the reason for whatever followed from it.
--- a/src/proxy/shell.rs
+++ b/src/proxy/shell.rs
@@ -165,7 +165,10 @@
 }
 
 /// Takes the orders of roll-outs one look further at a time.
-async fn follow_rollouts<C: claim::Claims>(state: Rc<state::State<C>>, ends: rollout::shell::Ends) {
+async fn follow_rollouts<C: claim::Claims>(
+    state: Rc<state::State<C>>,
+    ends: rollout::shell::Channels,
+) {
     let mut look = tokio::time::interval(LOOK);
     look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
@@ -174,10 +177,10 @@
             continue;
         }
         let view = Arc::clone(&state.view.borrow());
-        state.rollouts.settle(&ends.said.borrow());
+        state.rollouts.settle(&ends.statuses.borrow());
         state.look(&view);
-        let beliefs = state.rollouts.beliefs();
-        ends.beliefs.send_if_modified(|old| std::mem::replace(old, beliefs.clone()) != beliefs);
+        let beliefs = state.rollouts.progress();
+        ends.progress.send_if_modified(|old| std::mem::replace(old, beliefs.clone()) != beliefs);
         let trial = state.rollouts.trial();
         ends.trial.send_if_modified(|old| std::mem::replace(old, trial) != trial);
     }
--- a/src/proxy/versions.rs
+++ b/src/proxy/versions.rs
@@ -6,7 +6,7 @@
 use crate::clock;
 use crate::mesh;
 use crate::rollout;
-use crate::rollout::evidence;
+use crate::rollout::counts;
 use crate::rollout::status;
 use crate::view;
 
@@ -24,7 +24,7 @@
     /// Whether it speaks against the version.
     fn is_bad(&self, warm: bool) -> bool {
         let slow =
-            |(ran, usual): (time::Duration, time::Duration)| ran > usual.mul_f32(evidence::SLOW);
+            |(ran, usual): (time::Duration, time::Duration)| ran > usual.mul_f32(counts::SLOW);
         self.failed || (warm && self.times.is_some_and(slow))
     }
 }
@@ -34,7 +34,7 @@
 pub struct Versions {
     table: RefCell<rollout::Table>,
     /// What was seen of the upstream beside this node.
-    trial: Cell<rollout::Trial>,
+    trial: Cell<rollout::TrialReport>,
 }
 
 impl Versions {
@@ -44,7 +44,7 @@
     }
 
     /// Takes over what the mesh has said.
-    pub fn settle(&self, said: &status::Said) {
+    pub fn settle(&self, said: &status::StatusList) {
         for status in &said.list {
             let Some(stage) = status.state.stage() else { continue };
             self.table.borrow_mut().settle(&status.service, status.order, stage);
@@ -77,12 +77,12 @@
     }
 
     /// What this node believes.
-    pub fn beliefs(&self) -> Vec<rollout::table::Belief> {
-        self.table.borrow().beliefs()
+    pub fn progress(&self) -> Vec<rollout::table::Progress> {
+        self.table.borrow().progress()
     }
 
     /// What was seen of the upstream beside this node.
-    pub const fn trial(&self) -> rollout::Trial {
+    pub const fn trial(&self) -> rollout::TrialReport {
         self.trial.get()
     }
 
@@ -96,7 +96,7 @@
         let order = self.table.borrow().tried(&upstream.service, &upstream.version);
         let mut trial = self.trial.get();
         if trial.order != order {
-            trial = rollout::Trial { order, ..rollout::Trial::default() };
+            trial = rollout::TrialReport { order, ..rollout::TrialReport::default() };
         }
         if order > 0 {
             trial.new.note(result.is_bad(upstream.phase == view::Phase::Serving));
--- a/src/proxy/wiring.rs
+++ b/src/proxy/wiring.rs
@@ -36,5 +36,5 @@
     /// Requests under which upstreams end.
     pub quarantine: quarantine::CallSide,
     /// Roll-outs: what is believed here and what the mesh says.
-    pub rollouts: rollout::shell::Ends,
+    pub rollouts: rollout::shell::Channels,
 }
--- a/src/rollout/evidence.rs
+++ b/src/rollout/counts.rs
@@ -10,7 +10,7 @@
 
 /// Answers of one version.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Evidence {
+pub struct AnswerCounts {
     /// All answers.
     pub answers: u32,
     /// Failures, and answers that took several times as long as usual. Invariant: at most `answers`.
@@ -19,19 +19,19 @@
 
 /// What a node tells the others of an order while it is under way.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Trial {
+pub struct TrialReport {
     /// Number of the order; 0 while there is none.
     pub order: u64,
     /// What the upstream beside the node answered, if it is of the new version.
-    pub new: Evidence,
+    pub new: AnswerCounts,
     /// What the old version answered to calls made at such a node. One node's calls alone are too few to
     /// tell a bad version from an overload that ails both.
-    pub old: Evidence,
+    pub old: AnswerCounts,
     /// Whether the node has itself found the new version bad.
-    pub condemned: bool,
+    pub rejected: bool,
 }
 
-impl Evidence {
+impl AnswerCounts {
     /// Notes one more answer.
     pub const fn note(&mut self, bad: bool) {
         self.answers = self.answers.saturating_add(1);
--- a/src/rollout/judge.rs
+++ b/src/rollout/judge.rs
@@ -4,7 +4,7 @@
 //! The share of bad answers of the old version holds whatever ails both alike: overload, slow or starting
 //! upstreams, a release. What is tested is a share beyond it.
 
-use crate::rollout::evidence;
+use crate::rollout::counts;
 
 /// Share of bad answers that a sound version may have beyond what the old one has: its upstreams are
 /// few and differ in speed.
@@ -31,12 +31,12 @@
 const MOST: f64 = 0.8;
 
 /// Whether `new` is bad beside `old`.
-pub fn is_bad(new: evidence::Evidence, old: evidence::Evidence) -> bool {
+pub fn is_bad(new: counts::AnswerCounts, old: counts::AnswerCounts) -> bool {
     ratio(new, old) > CONDEMNED
 }
 
 /// Logarithm of how much likelier `new` is for a bad version than for a sound one.
-fn ratio(new: evidence::Evidence, old: evidence::Evidence) -> f64 {
+fn ratio(new: counts::AnswerCounts, old: counts::AnswerCounts) -> f64 {
     let sound = sound(old);
     let harmful = sound + HARM;
     let bad = f64::from(new.bad);
@@ -45,7 +45,7 @@
 }
 
 /// The share of bad answers that a sound version may have.
-fn sound(old: evidence::Evidence) -> f64 {
+fn sound(old: counts::AnswerCounts) -> f64 {
     let answers = f64::from(old.answers) + PRIOR;
     let share = (f64::from(old.bad) + PRIOR * EXPECTED) / answers;
     let error = (share * (1.0 - share) / answers).sqrt();
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -6,7 +6,7 @@
 //! ([`plan`]). The nodes beside new upstreams count what these answer; the counts travel with the
 //! membership, and each node compares them with what it sees of the old version ([`judge`]).
 
-pub mod evidence;
+pub mod counts;
 pub mod judge;
 pub mod plan;
 pub mod shell;
@@ -23,7 +23,7 @@
 
 use crate::logs;
 
-pub use self::evidence::{Evidence, Trial};
+pub use self::counts::{AnswerCounts, TrialReport};
 pub use self::plan::{Plan, Side, Stage};
 pub use self::table::Table;
 
--- a/src/rollout/plan.rs
+++ b/src/rollout/plan.rs
@@ -75,11 +75,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Known {
     /// Answers of the new version, on all hosts.
-    pub new: rollout::Evidence,
+    pub new: rollout::AnswerCounts,
     /// Answers of the old version that this node and those beside new upstreams have seen.
-    pub old: rollout::Evidence,
+    pub old: rollout::AnswerCounts,
     /// Whether another node has found the new version bad.
-    pub condemned: bool,
+    pub rejected: bool,
     /// Slots of new upstreams that serve and are warm.
     pub ready: u32,
     /// Slots of old upstreams that serve.
@@ -110,7 +110,7 @@
     }
 
     /// Whether this node has itself found the version bad.
-    pub const fn has_condemned(&self) -> bool {
+    pub const fn has_rejected(&self) -> bool {
         self.found
     }
 
@@ -126,7 +126,7 @@
             return;
         }
         self.found = judge::is_bad(known.new, known.old);
-        if known.condemned || self.found {
+        if known.rejected || self.found {
             self.stage = Stage::RolledBack;
             return;
         }
--- a/src/rollout/shell.rs
+++ b/src/rollout/shell.rs
@@ -31,9 +31,9 @@
     /// Where it is said.
     pub statuses: S,
     /// What the call path believes.
-    pub beliefs: watch::Receiver<Vec<table::Belief>>,
+    pub progress: watch::Receiver<Vec<table::Progress>>,
     /// What is said, to the call path.
-    pub said: watch::Sender<status::Said>,
+    pub status_list: watch::Sender<status::StatusList>,
     /// The known hosts.
     pub view: watch::Receiver<Arc<view::View>>,
     /// Stage of the process; the duty ends at [`node::Stage::End`].
@@ -42,21 +42,21 @@
 
 /// The ends of the call path.
 #[derive(Clone, Debug)]
-pub struct Ends {
+pub struct Channels {
     /// What it believes.
-    pub beliefs: watch::Sender<Vec<table::Belief>>,
+    pub progress: watch::Sender<Vec<table::Progress>>,
     /// What is said.
-    pub said: watch::Receiver<status::Said>,
+    pub statuses: watch::Receiver<status::StatusList>,
     /// What it has seen of the upstream beside this node, to its announcement.
-    pub trial: watch::Sender<rollout::Trial>,
+    pub trial: watch::Sender<rollout::TrialReport>,
 }
 
-impl Default for Ends {
+impl Default for Channels {
     /// Ends that lead nowhere.
     fn default() -> Self {
         Self {
-            beliefs: watch::Sender::default(),
-            said: watch::Sender::default().subscribe(),
+            progress: watch::Sender::default(),
+            statuses: watch::Sender::default().subscribe(),
             trial: watch::Sender::default(),
         }
     }
@@ -73,7 +73,7 @@
     wiring: Wiring<S>,
 ) -> Result<(), std::convert::Infallible> {
     let mut stage = wiring.stage.clone();
-    let mut beliefs = wiring.beliefs.clone();
+    let mut beliefs = wiring.progress.clone();
     beliefs.mark_changed();
     loop {
         tokio::select! {
@@ -99,7 +99,7 @@
     ctx: context::Context,
     me: host::HostId,
     wiring: &Wiring<S>,
-    list: &[table::Belief],
+    list: &[table::Progress],
 ) {
     let began = ctx.now();
     let turn = TURN * rank(me, &wiring.view.borrow());
@@ -114,7 +114,7 @@
             continue;
         }
         for status in missing {
-            write(wiring, &status, said.mark).await;
+            write(wiring, &status, said.position).await;
         }
     }
 }
@@ -126,10 +126,10 @@
     left.is_zero()
 }
 
-async fn read<S: status::Statuses>(wiring: &Wiring<S>) -> Option<status::Said> {
+async fn read<S: status::Statuses>(wiring: &Wiring<S>) -> Option<status::StatusList> {
     match wiring.statuses.read().await {
         Ok(said) => {
-            wiring.said.send_replace(said.clone());
+            wiring.status_list.send_replace(said.clone());
             Some(said)
         }
         Err(error) => {
--- a/src/rollout/status.rs
+++ b/src/rollout/status.rs
@@ -36,11 +36,11 @@
 
 /// All that is said.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Said {
+pub struct StatusList {
     /// The newest status of each service.
     pub list: Vec<Status>,
     /// How far the list goes: what is written after it is not in it.
-    pub mark: u64,
+    pub position: u64,
 }
 
 /// Where it is said.
@@ -49,7 +49,7 @@
     type Error: error::Error + Send + Sync + 'static;
 
     /// What is said.
-    fn read(&self) -> impl future::Future<Output = Result<Said, Self::Error>>;
+    fn read(&self) -> impl future::Future<Output = Result<StatusList, Self::Error>>;
 
     /// Says `status`, unless anything was said after `mark`; whether it is said now.
     fn write(
@@ -88,7 +88,7 @@
 /// What has to be said of `belief` where `said` is what is said already; `None` when nothing has.
 ///
 /// The first end of an order stays: a node that comes to another one later says nothing.
-pub fn next(belief: &table::Belief, said: &Said) -> Option<Status> {
+pub fn next(belief: &table::Progress, said: &StatusList) -> Option<Status> {
     let state = State::from(belief.stage);
     let known = said.list.iter().find(|status| status.service == belief.service);
     let same = known.filter(|status| status.order == belief.order.number);
--- a/src/rollout/stream.rs
+++ b/src/rollout/stream.rs
@@ -47,14 +47,14 @@
 impl<L: logs::Service> status::Statuses for Stream<L> {
     type Error = Error<L::Error>;
 
-    async fn read(&self) -> Result<status::Said, Self::Error> {
-        let mut said = status::Said::default();
+    async fn read(&self) -> Result<status::StatusList, Self::Error> {
+        let mut said = status::StatusList::default();
         loop {
             let read =
-                self.log.read(logs::streams::ROLLOUTS, said.mark, BATCH, time::Duration::ZERO);
+                self.log.read(logs::streams::ROLLOUTS, said.position, BATCH, time::Duration::ZERO);
             let batch = read.await.map_err(Error::Log)?;
             for record in &batch.records {
-                said.mark = record.offset + 1;
+                said.position = record.offset + 1;
                 match serde_json::from_slice::<Record>(&record.body) {
                     Ok(record) => add(&mut said.list, record),
                     Err(error) => {
@@ -62,8 +62,8 @@
                     }
                 }
             }
-            if batch.records.is_empty() || said.mark >= batch.next {
-                said.mark = batch.next;
+            if batch.records.is_empty() || said.position >= batch.next {
+                said.position = batch.next;
                 return Ok(said);
             }
         }
--- a/src/rollout/table.rs
+++ b/src/rollout/table.rs
@@ -34,7 +34,7 @@
     order: rollout::Order,
     plan: rollout::Plan,
     /// Answers of the old version seen here.
-    old: rollout::Evidence,
+    old: rollout::AnswerCounts,
     /// Calls divided so far; each gets its side by its place among a thousand.
     calls: u32,
     /// New upstreams that are tried before the version is proven.
@@ -75,7 +75,7 @@
 
 /// What this node believes of one order.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Belief {
+pub struct Progress {
     /// The service that is moved.
     pub service: SmolStr,
     /// The order.
@@ -155,7 +155,7 @@
         );
         let plan = rollout::Plan::new(rollout.order.within, now);
         let order = rollout.order.clone();
-        let old = rollout::Evidence::default();
+        let old = rollout::AnswerCounts::default();
         self.entries
             .insert(rollout.service.clone(), Entry { order, plan, old, calls: 0, tried: 0 });
     }
@@ -202,19 +202,27 @@
 
     /// What this node tells the others of the order for the service of its `upstream`, of which it has
     /// seen the answers `new` under the order they are told with.
-    pub fn trial(&self, upstream: &view::Upstream, seen: rollout::Trial) -> rollout::Trial {
+    pub fn trial(
+        &self,
+        upstream: &view::Upstream,
+        seen: rollout::TrialReport,
+    ) -> rollout::TrialReport {
         let Some(entry) = self.entries.get(&upstream.service) else {
-            return rollout::Trial::default();
+            return rollout::TrialReport::default();
         };
-        let condemned = entry.plan.has_condemned();
+        let condemned = entry.plan.has_rejected();
         let order = entry.order.number;
         if upstream.version != entry.order.version {
             // Only news are worth the way to all hosts.
             let order = if condemned { order } else { 0 };
-            return rollout::Trial { order, condemned, ..rollout::Trial::default() };
+            return rollout::TrialReport {
+                order,
+                rejected: condemned,
+                ..rollout::TrialReport::default()
+            };
         }
-        let new = if seen.order == order { seen.new } else { rollout::Evidence::default() };
-        rollout::Trial { order, new, old: entry.old, condemned }
+        let new = if seen.order == order { seen.new } else { rollout::AnswerCounts::default() };
+        rollout::TrialReport { order, new, old: entry.old, rejected: condemned }
     }
 
     /// Number of the order under which an upstream of `version` is tried; 0 when it is not.
@@ -233,8 +241,8 @@
     }
 
     /// What this node believes of its orders.
-    pub fn beliefs(&self) -> Vec<Belief> {
-        let belief = |(service, entry): (&SmolStr, &Entry)| Belief {
+    pub fn progress(&self) -> Vec<Progress> {
+        let belief = |(service, entry): (&SmolStr, &Entry)| Progress {
             service: service.clone(),
             order: entry.order.clone(),
             stage: entry.plan.stage(),
@@ -257,9 +265,9 @@
 /// What `view` tells of the order of `entry`.
 fn known(service: &str, entry: &Entry, view: &view::View) -> rollout::plan::Known {
     let mut known = rollout::plan::Known {
-        new: rollout::Evidence::default(),
+        new: rollout::AnswerCounts::default(),
         old: entry.old,
-        condemned: false,
+        rejected: false,
         ready: 0,
         serving: 0,
     };
@@ -270,7 +278,7 @@
         if upstream.trial.order == entry.order.number {
             known.new = known.new.and(upstream.trial.new);
             known.old = known.old.and(upstream.trial.old);
-            known.condemned |= upstream.trial.condemned;
+            known.rejected |= upstream.trial.rejected;
         }
         if upstream.version == entry.order.version {
             known.ready += if upstream.phase == view::Phase::Serving { slots } else { 0 };
@@ -297,7 +305,7 @@
     log::info!(
         service, version = entry.order.version.as_str(), order = entry.order.number,
         stage:? = stage, answers = known.new.answers, bad = known.new.bad,
-        old_answers = known.old.answers, old_bad = known.old.bad, condemned = known.condemned,
+        old_answers = known.old.answers, old_bad = known.old.bad, condemned = known.rejected,
         ready = known.ready, serving = known.serving;
         "a roll-out has come to another stage"
     );
--- a/src/rollout/tests.rs
+++ b/src/rollout/tests.rs
@@ -78,7 +78,7 @@
     plan: Option<rollout::Plan>,
     /// When it learns of the order; `None` for one that never does.
     learns: Option<u64>,
-    old: rollout::Evidence,
+    old: rollout::AnswerCounts,
     calls: u32,
 }
 
@@ -97,11 +97,11 @@
         .map(|i| Entry {
             plan: None,
             learns: learns(i, &mut rng),
-            old: rollout::Evidence::default(),
+            old: rollout::AnswerCounts::default(),
             calls: 0,
         })
         .collect();
-    let mut seen = rollout::Evidence::default();
+    let mut seen = rollout::AnswerCounts::default();
     // What is known to all comes from this history of what was seen.
     let mut history = collections::VecDeque::new();
     let mut result = Result { stage: rollout::Stage::Trial, at: 0, new: 0, all: 0, late: 0 };
@@ -115,20 +115,29 @@
         while history.len() > 1 && history[1].0 + GOSSIP <= now {
             history.pop_front();
         }
-        let known =
-            if history[0].0 + GOSSIP <= now { history[0].1 } else { rollout::Evidence::default() };
+        let known = if history[0].0 + GOSSIP <= now {
+            history[0].1
+        } else {
+            rollout::AnswerCounts::default()
+        };
         let tellers = entries.iter().rev().take(3).map(|entry| entry.old);
-        shared.push_back((now, tellers.fold(rollout::Evidence::default(), rollout::Evidence::and)));
+        shared.push_back((
+            now,
+            tellers.fold(rollout::AnswerCounts::default(), rollout::AnswerCounts::and),
+        ));
         while shared.len() > 1 && shared[1].0 + GOSSIP <= now {
             shared.pop_front();
         }
-        let control =
-            if shared[0].0 + GOSSIP <= now { shared[0].1 } else { rollout::Evidence::default() };
+        let control = if shared[0].0 + GOSSIP <= now {
+            shared[0].1
+        } else {
+            rollout::AnswerCounts::default()
+        };
         let told = condemned.is_some_and(|when| when + GOSSIP <= now);
         for entry in &mut entries {
             look(entry, (known, control), told, now);
         }
-        if entries.iter().any(|e| e.plan.is_some_and(|plan| plan.has_condemned())) {
+        if entries.iter().any(|e| e.plan.is_some_and(|plan| plan.has_rejected())) {
             condemned.get_or_insert(now);
         }
         let mut ended = entries.iter().filter_map(|e| e.plan.map(|plan| plan.stage()));
@@ -162,7 +171,7 @@
 /// One look of an entry at its order.
 fn look(
     entry: &mut Entry,
-    (new, old): (rollout::Evidence, rollout::Evidence),
+    (new, old): (rollout::AnswerCounts, rollout::AnswerCounts),
     condemned: bool,
     now: u64,
 ) {
@@ -171,7 +180,7 @@
     }
     let plan = entry.plan.get_or_insert_with(|| rollout::Plan::new(WITHIN, at(now)));
     let old = entry.old.and(old);
-    let known = plan::Known { new, old, condemned, ready: 288, serving: 288 };
+    let known = plan::Known { new, old, rejected: condemned, ready: 288, serving: 288 };
     plan.update(&known, at(now));
 }
 
@@ -235,7 +244,8 @@
 fn of_a_thousand_good_versions_none_is_condemned() {
     let wrong = (0..1_000).filter(|&seed| {
         let mut rng = rngs::SmallRng::seed_from_u64(seed);
-        let (mut new, mut old) = (rollout::Evidence::default(), rollout::Evidence::default());
+        let (mut new, mut old) =
+            (rollout::AnswerCounts::default(), rollout::AnswerCounts::default());
         (0..1_000).any(|_| {
             new.note(rng.random_bool(0.06));
             old.note(rng.random_bool(0.06));
@@ -248,9 +258,9 @@
 #[test]
 fn an_order_without_new_upstreams_is_rolled_back_before_its_time_is_over() {
     let mut plan = rollout::Plan::new(WITHIN, at(0));
-    let (new, old) = (rollout::Evidence::default(), rollout::Evidence::default());
+    let (new, old) = (rollout::AnswerCounts::default(), rollout::AnswerCounts::default());
     for now in (0..12_000).step_by(100) {
-        let known = plan::Known { new, old, condemned: false, ready: 0, serving: 40 };
+        let known = plan::Known { new, old, rejected: false, ready: 0, serving: 40 };
         plan.update(&known, at(now));
     }
     assert_eq!(plan.stage(), rollout::Stage::RolledBack);
@@ -259,11 +269,11 @@
 #[test]
 fn the_old_version_gets_no_call_for_a_while_before_its_end() {
     let mut plan = rollout::Plan::new(WITHIN, at(0));
-    let new = rollout::Evidence { answers: 400, bad: 4 };
-    let old = rollout::Evidence { answers: 150, bad: 2 };
+    let new = rollout::AnswerCounts { answers: 400, bad: 4 };
+    let old = rollout::AnswerCounts { answers: 150, bad: 2 };
     let mut since = None;
     for now in (0..12_000).step_by(100) {
-        let known = plan::Known { new, old, condemned: false, ready: 40, serving: 40 };
+        let known = plan::Known { new, old, rejected: false, ready: 40, serving: 40 };
         plan.update(&known, at(now));
         if plan.share(at(now)) == 1000 {
             since.get_or_insert(now);
@@ -284,9 +294,9 @@
         let mut plan = rollout::Plan::new(WITHIN, at(0));
         let mut end = None;
         for (now, (answers, bad, condemned, ready, serving)) in (0..).step_by(200).zip(looks) {
-            let new = rollout::Evidence { answers, bad: bad.min(answers) };
-            let old = rollout::Evidence { answers: 100, bad: 3 };
-            plan.update(&plan::Known { new, old, condemned, ready, serving }, at(now));
+            let new = rollout::AnswerCounts { answers, bad: bad.min(answers) };
+            let old = rollout::AnswerCounts { answers: 100, bad: 3 };
+            plan.update(&plan::Known { new, old, rejected: condemned, ready, serving }, at(now));
             let stage = plan.stage();
             prop_assert!(end.is_none_or(|end| end == stage));
             if status::State::from(stage).is_final() {
@@ -298,7 +308,7 @@
 
     #[test]
     fn evidence_counts_no_more_bad_answers_than_answers(notes in prop::collection::vec(any::<bool>(), 0..200)) {
-        let mut seen = rollout::Evidence::default();
+        let mut seen = rollout::AnswerCounts::default();
         for bad in notes {
             seen.note(bad);
             prop_assert!(seen.bad <= seen.answers);
@@ -307,9 +317,9 @@
     }
 }
 
-fn belief(version: &str, stage: rollout::Stage) -> rollout::table::Belief {
+fn belief(version: &str, stage: rollout::Stage) -> rollout::table::Progress {
     let order = rollout::Order { number: 3, version: version.into(), within: WITHIN };
-    rollout::table::Belief { service: "shop".into(), order, stage }
+    rollout::table::Progress { service: "shop".into(), order, stage }
 }
 
 #[rstest]
@@ -337,7 +347,7 @@
         order: if version == "v2" { 3 } else { 2 },
         state,
     });
-    let said = status::Said { list: list.collect(), mark: 7 };
+    let said = status::StatusList { list: list.collect(), position: 7 };
     let next = status::next(&belief("v2", stage), &said);
     assert_eq!(next.map(|status| status.state), expected);
 }
@@ -353,7 +363,7 @@
         connections: 100,
         life: 1,
         version: version.into(),
-        trial: rollout::Trial::default(),
+        trial: rollout::TrialReport::default(),
     };
     view::Host {
         id: host::HostId::new(listen),
@@ -416,8 +426,8 @@
 #[test]
 fn the_end_that_the_mesh_says_goes_before_the_own_one() {
     let mut plan = rollout::Plan::new(WITHIN, at(0));
-    let (new, old) = (rollout::Evidence::default(), rollout::Evidence::default());
-    let known = plan::Known { new, old, condemned: false, ready: 0, serving: 40 };
+    let (new, old) = (rollout::AnswerCounts::default(), rollout::AnswerCounts::default());
+    let known = plan::Known { new, old, rejected: false, ready: 0, serving: 40 };
     plan.update(&known, at(11_000));
     assert_eq!(plan.stage(), rollout::Stage::RolledBack, "a node that learned late");
     plan.settle(rollout::Stage::Completed);
@@ -456,15 +466,15 @@
     for (epoch, offset) in [(1, 5), (2, 8), (5, 0)] {
         let number = logs::ordinal(epoch, offset);
         seen(&mut table, &ordered(number, "v2"), &versions, 2_000);
-        let beliefs = table.beliefs();
+        let beliefs = table.progress();
         assert_eq!((beliefs[0].order.number, beliefs[0].stage), (number, plan::Stage::RolledBack));
         assert!((0..1_000).all(|_| table.next("shop", at(2_000)) == plan::Side::Old));
     }
     seen(&mut table, &ordered(logs::ordinal(5, 9), "v2"), &versions, 3_000);
-    assert_eq!(table.beliefs()[0].stage, plan::Stage::Trial, "ordered once more");
+    assert_eq!(table.progress()[0].stage, plan::Stage::Trial, "ordered once more");
     seen(&mut table, &ordered(logs::ordinal(6, 2), "v3"), &versions, 4_000);
     assert_eq!(
-        table.beliefs()[0].order.version,
+        table.progress()[0].order.version,
         "v3",
         "another order of a later epoch is a new one"
     );
@@ -483,9 +493,9 @@
         order: number,
         state: status::State::Serving,
     };
-    let said = status::Said { list: vec![status], mark: 3 };
+    let said = status::StatusList { list: vec![status], position: 3 };
     let again = logs::ordinal(1, 5);
     seen(&mut table, &ordered(again, "v2"), &["v1", "v2"], 2_000);
-    let next = status::next(&table.beliefs()[0], &said).expect("it is said");
+    let next = status::next(&table.progress()[0], &said).expect("it is said");
     assert_eq!((next.order, next.state), (again, status::State::Completed));
 }
--- a/src/spread/answer.rs
+++ b/src/spread/answer.rs
@@ -39,10 +39,14 @@
     ) {
         match datagram {
             message::Datagram::Ack { version } => self.note(host, version),
-            message::Datagram::Announce { stamp, way } => self.announced(host, stamp, way, now),
+            message::Datagram::Announce { version_id, way } => {
+                self.announced(host, version_id, way, now)
+            }
             message::Datagram::Ask => self.asked(host),
             message::Datagram::Push { parcel, way } => self.pushed(host, &parcel, way, now),
-            message::Datagram::Tell { stamp, yours } => self.told(host, stamp, yours, now),
+            message::Datagram::Tell { version_id, yours } => {
+                self.told(host, version_id, yours, now)
+            }
             message::Datagram::Want { have } => self.wanted(host, have),
         }
     }
@@ -76,7 +80,7 @@
     fn announced(
         &mut self,
         host: host::HostId,
-        stamp: version::Stamp,
+        stamp: version::VersionId,
         way: message::Way,
         now: clock::Instant,
     ) {
@@ -103,13 +107,13 @@
         let yours = self.peers.ran(host);
         let stamp = self.held();
         self.peers.restarted(host);
-        self.send(host, message::Datagram::Tell { stamp, yours });
+        self.send(host, message::Datagram::Tell { version_id: stamp, yours });
     }
 
     fn told(
         &mut self,
         host: host::HostId,
-        stamp: version::Stamp,
+        stamp: version::VersionId,
         yours: version::Version,
         now: clock::Instant,
     ) {
@@ -127,13 +131,13 @@
         way: message::Way,
         now: clock::Instant,
     ) {
-        self.note(host, parcel.stamp.version);
-        if parcel.stamp.version <= self.held().version {
+        self.note(host, parcel.version_id.version);
+        if parcel.version_id.version <= self.held().version {
             self.again(host, way, now);
             return;
         }
-        self.pull.aim(parcel.stamp.version);
-        self.remember(parcel.stamp.version, way);
+        self.pull.aim(parcel.version_id.version);
+        self.remember(parcel.version_id.version, way);
         match self.open(host, parcel, now) {
             true => self.acknowledge(host, way),
             false if way != message::Way::Answer => self.want(host, now),
@@ -172,7 +176,7 @@
             Ok(true) => self.learned(base, learn::Source::Peer(host), now),
             Ok(false) => {}
             Err(error) => {
-                let version = parcel.stamp.version.number();
+                let version = parcel.version_id.version.number();
                 log::info!(version, error:% = error; "could not use a patch from {host}");
                 return false;
             }
@@ -249,7 +253,7 @@
         let ours = self.pull.fetches(host);
         match served {
             Some(message::Served::Parcel(parcel)) => {
-                let way = self.pull.way(parcel.stamp.version);
+                let way = self.pull.way(parcel.version_id.version);
                 if self.open(host, &parcel, now) {
                     self.acknowledge(host, way.unwrap_or(message::Way::Answer));
                 }
--- a/src/spread/confirm.rs
+++ b/src/spread/confirm.rs
@@ -26,8 +26,8 @@
     if let Some(newer) = newer {
         return Tail::Newer(newer);
     }
-    let end = batch.records.last().map_or(batch.first.max(held.place()), |r| r.offset + 1);
-    let follows = batch.epoch == held.epoch() && batch.first <= held.place();
+    let end = batch.records.last().map_or(batch.first.max(held.next_offset()), |r| r.offset + 1);
+    let follows = batch.epoch == held.epoch() && batch.first <= held.next_offset();
     let whole = follows || batch.records.iter().any(|r| keeps(r, held));
     match whole && end >= batch.next {
         true => Tail::Current,
@@ -44,7 +44,7 @@
         }
         record::Record::Settled(settled) => Some(settled.version).filter(|&version| version > held),
         record::Record::Snapshot(snapshot) => {
-            Some(snapshot.stamp.version).filter(|&version| version > held)
+            Some(snapshot.version_id.version).filter(|&version| version > held)
         }
     }
 }
@@ -52,7 +52,7 @@
 /// Whether `record` says that nothing newer than `held` came before it.
 fn keeps(record: &logs::Record, held: version::Version) -> bool {
     match record::decode(&record.body, rules::NEWEST) {
-        Ok(record::Record::Snapshot(snapshot)) => snapshot.stamp.version == held,
+        Ok(record::Record::Snapshot(snapshot)) => snapshot.version_id.version == held,
         Ok(record::Record::Settled(settled)) => settled.version <= held,
         _ => false,
     }
--- a/src/spread/decision.rs
+++ b/src/spread/decision.rs
@@ -145,7 +145,7 @@
     pub(super) snapshots: snapshot::Policy,
     pub(super) push: push::Push,
     pub(super) pull: pull::Pull,
-    pub(super) running: version::Stamp,
+    pub(super) running: version::VersionId,
     pub(super) told: version::Version,
     pub(super) floor: version::Version,
     pub(super) witness: Option<clock::Instant>,
@@ -195,7 +195,7 @@
             snapshots: snapshot::Policy::new(identity.retention, seed),
             push: push::Push::new(&settings),
             pull: pull::Pull::new(),
-            running: version::Stamp::default(),
+            running: version::VersionId::default(),
             told: version::Version::NONE,
             floor: version::Version::NONE,
             witness: None,
@@ -243,13 +243,13 @@
     }
 
     /// What this node runs.
-    pub const fn running(&self) -> version::Stamp {
+    pub const fn running(&self) -> version::VersionId {
         self.running
     }
 
     /// What this node holds; it may wait to run it.
-    pub fn held(&self) -> version::Stamp {
-        self.replica.stamp()
+    pub fn held(&self) -> version::VersionId {
+        self.replica.version_id()
     }
 
     /// Whether the node has started: it knows what it may run.
--- a/src/spread/learn.rs
+++ b/src/spread/learn.rs
@@ -111,11 +111,11 @@
     pub(super) fn give(&mut self, host: host::HostId, base: version::Version, way: message::Way) {
         let Some(parcel) = self.replica.parcel(base) else { return };
         let most = usize::from(self.settings.datagram_bytes);
-        let stamp = parcel.stamp;
+        let stamp = parcel.version_id;
         let small = parcel.patch.size() + message::OVERHEAD <= most;
         let datagram = match small {
             true => message::Datagram::Push { parcel, way },
-            false => message::Datagram::Announce { stamp, way },
+            false => message::Datagram::Announce { version_id: stamp, way },
         };
         self.send(host, datagram);
     }
--- a/src/spread/message.rs
+++ b/src/spread/message.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Parcel {
     /// The version it leads to, with the digest by which the result is checked.
-    pub stamp: version::Stamp,
+    pub version_id: version::VersionId,
     /// The version it starts from; not used when the patch holds the whole file.
     pub base: version::Version,
     /// The patch.
@@ -41,7 +41,7 @@
     /// A new version too large for a datagram waits at the sender.
     Announce {
         /// The version, with its digest.
-        stamp: version::Stamp,
+        version_id: version::VersionId,
         /// What becomes of it.
         way: Way,
     },
@@ -57,7 +57,7 @@
     /// Answers an [`Datagram::Ask`].
     Tell {
         /// What the sender holds.
-        stamp: version::Stamp,
+        version_id: version::VersionId,
         /// The highest version the asking host is known to have run.
         yours: version::Version,
     },
--- a/src/spread/reading.rs
+++ b/src/spread/reading.rs
@@ -51,7 +51,7 @@
             Some(tail::Kind::Confirm) => {
                 let held = self.held().version;
                 let same = self.epoch.is_none_or(|epoch| epoch == held.epoch());
-                let from = if same { held.place() } else { logs::Offset::MAX };
+                let from = if same { held.next_offset() } else { logs::Offset::MAX };
                 tail::Read { from, wait: time::Duration::ZERO }
             }
             Some(tail::Kind::Judge) => {
@@ -113,7 +113,7 @@
         let Some(accepted) = self.reader.fold().current() else { return };
         let held = self.replica.applied();
         let (known, read) = (&held.mesh.rollouts, &accepted.mesh.rollouts);
-        if self.recovery.holds_back((base, known), (accepted.stamp.version, read), now) {
+        if self.recovery.holds_back((base, known), (accepted.version_id.version, read), now) {
             return;
         }
         if self.replica.accept(accepted) {
--- a/src/spread/replica.rs
+++ b/src/spread/replica.rs
@@ -38,8 +38,8 @@
     }
 
     /// What is held.
-    pub fn stamp(&self) -> version::Stamp {
-        self.shelf.stamp()
+    pub fn version_id(&self) -> version::VersionId {
+        self.shelf.version_id()
     }
 
     /// The version held before.
@@ -49,14 +49,14 @@
 
     /// What is held, ready to run.
     pub fn applied(&self) -> mesh::Applied {
-        mesh::Applied { stamp: self.stamp(), mesh: Arc::clone(&self.mesh) }
+        mesh::Applied { version_id: self.version_id(), mesh: Arc::clone(&self.mesh) }
     }
 
     /// Takes what a reader's fold accepted; true when it is newer.
     pub fn accept(&mut self, accepted: &fold::Accepted) -> bool {
-        let newer = accepted.stamp.version > self.stamp().version;
+        let newer = accepted.version_id.version > self.version_id().version;
         if newer {
-            self.put(accepted.stamp, accepted.body.clone(), Arc::clone(&accepted.mesh));
+            self.put(accepted.version_id, accepted.body.clone(), Arc::clone(&accepted.mesh));
         }
         newer
     }
@@ -73,17 +73,17 @@
     /// Fails, and changes nothing, when the patch does not lead from a file held here to the file
     /// of the digest named, or when that file is not valid.
     pub fn open(&mut self, parcel: &message::Parcel) -> Result<bool, Error> {
-        if parcel.stamp.version <= self.stamp().version {
+        if parcel.version_id.version <= self.version_id().version {
             return Ok(false);
         }
         let body = self.shelf.open(parcel)?;
         let mesh = Arc::new(mesh::check::check(&body)?);
-        self.put(parcel.stamp, body, mesh);
+        self.put(parcel.version_id, body, mesh);
         self.shelf.keep(parcel);
         Ok(true)
     }
 
-    fn put(&mut self, stamp: version::Stamp, body: Bytes, mesh: Arc<mesh::Mesh>) {
+    fn put(&mut self, stamp: version::VersionId, body: Bytes, mesh: Arc<mesh::Mesh>) {
         self.shelf.put(stamp, body);
         self.mesh = mesh;
     }
--- a/src/spread/shelf.rs
+++ b/src/spread/shelf.rs
@@ -14,7 +14,7 @@
 /// One version's file.
 #[derive(Clone, Debug)]
 struct File {
-    stamp: version::Stamp,
+    version_id: version::VersionId,
     body: Bytes,
 }
 
@@ -39,21 +39,21 @@
     }
 
     /// The newest version held.
-    pub fn stamp(&self) -> version::Stamp {
-        self.files.back().map(|f| f.stamp).unwrap_or_default()
+    pub fn version_id(&self) -> version::VersionId {
+        self.files.back().map(|f| f.version_id).unwrap_or_default()
     }
 
     /// The version held before the newest.
     pub fn older(&self) -> version::Version {
-        self.files.iter().rev().nth(1).map(|f| f.stamp.version).unwrap_or_default()
+        self.files.iter().rev().nth(1).map(|f| f.version_id.version).unwrap_or_default()
     }
 
     /// Takes the file of `stamp`; ignored unless it is newer than all that is held.
-    pub fn put(&mut self, stamp: version::Stamp, body: Bytes) {
-        if stamp.version <= self.stamp().version {
+    pub fn put(&mut self, stamp: version::VersionId, body: Bytes) {
+        if stamp.version <= self.version_id().version {
             return;
         }
-        self.files.push_back(File { stamp, body });
+        self.files.push_back(File { version_id: stamp, body });
         self.patches.clear();
         while self.files.len() > self.keep + 1 || self.older_bytes() > KEPT_BYTES {
             self.files.pop_front();
@@ -62,7 +62,7 @@
 
     /// Takes a patch that was received and checked, so that it is not made again.
     pub fn keep(&mut self, parcel: &message::Parcel) {
-        if parcel.stamp == self.stamp() {
+        if parcel.version_id == self.version_id() {
             self.patches.insert(parcel.base, parcel.patch.clone());
         }
     }
@@ -71,24 +71,24 @@
     /// whole file.
     pub fn parcel(&mut self, base: version::Version) -> Option<message::Parcel> {
         let newest = self.files.back()?;
-        let stamp = newest.stamp;
+        let stamp = newest.version_id;
         if let Some(patch) = self.patches.get(&base) {
-            return Some(message::Parcel { stamp, base, patch: patch.clone() });
+            return Some(message::Parcel { version_id: stamp, base, patch: patch.clone() });
         }
-        let from = self.files.iter().find(|f| f.stamp.version == base && base < stamp.version);
-        let base = from.map(|f| f.stamp.version).unwrap_or_default();
+        let from = self.files.iter().find(|f| f.version_id.version == base && base < stamp.version);
+        let base = from.map(|f| f.version_id.version).unwrap_or_default();
         if let Some(patch) = self.patches.get(&base) {
-            return Some(message::Parcel { stamp, base, patch: patch.clone() });
+            return Some(message::Parcel { version_id: stamp, base, patch: patch.clone() });
         }
         let patch = delta::make(from.map(|f| &f.body[..]), &newest.body);
         self.patches.insert(base, patch.clone());
-        Some(message::Parcel { stamp, base, patch })
+        Some(message::Parcel { version_id: stamp, base, patch })
     }
 
     /// The file a parcel leads to, checked against its digest.
     pub fn open(&self, parcel: &message::Parcel) -> Result<Bytes, delta::Error> {
-        let base = self.files.iter().find(|f| f.stamp.version == parcel.base);
-        delta::restore(base.map(|f| &f.body[..]), &parcel.patch, parcel.stamp.digest)
+        let base = self.files.iter().find(|f| f.version_id.version == parcel.base);
+        delta::restore(base.map(|f| &f.body[..]), &parcel.patch, parcel.version_id.digest)
     }
 
     fn older_bytes(&self) -> usize {
--- a/src/spread/shell.rs
+++ b/src/spread/shell.rs
@@ -47,7 +47,7 @@
     /// The known hosts.
     pub view: watch::Receiver<Arc<view::View>>,
     /// From the membership duty: peers that run something else.
-    pub heard: ring::Receiver<member::Heard>,
+    pub heard: ring::Receiver<member::VersionMismatch>,
     /// The platform's log.
     pub log: L,
     /// Stage of the process; the duty ends at [`node::Stage::End`].
@@ -132,7 +132,7 @@
         mut self,
         mut inbox: mpsc::Receiver<Note>,
         mut view: watch::Receiver<Arc<view::View>>,
-        mut heard: ring::Receiver<member::Heard>,
+        mut heard: ring::Receiver<member::VersionMismatch>,
         mut stage: watch::Receiver<node::Stage>,
     ) {
         let mut buffer = [0; DATAGRAM_BYTES];
@@ -208,7 +208,7 @@
             decision::Action::Fetch { host, have } => self.fetch(host, have),
             decision::Action::Read(read) => self.read(read),
             decision::Action::Run(applied) => {
-                let version = applied.stamp.version.number();
+                let version = applied.version_id.version.number();
                 let unix_millis = clock::Clock::unix_millis(&self.ctx.clock);
                 log::info!(version, unix_millis; "runs a new configuration");
                 self.applied.send_replace(applied);
--- a/src/spread/tests/net.rs
+++ b/src/spread/tests/net.rs
@@ -75,7 +75,7 @@
     /// Its decisions, while its process lives.
     pub core: Option<Spread>,
     /// What it runs.
-    pub running: version::Stamp,
+    pub running: version::VersionId,
     /// The highest version any of its lives has run.
     pub ran: version::Version,
     life: u64,
@@ -171,7 +171,7 @@
             id: host::HostId::new((ip, 7100).into()),
             place: Arc::clone(place),
             core: None,
-            running: version::Stamp::default(),
+            running: version::VersionId::default(),
             ran: version::Version::NONE,
             life: 0,
             paused: Vec::new(),
@@ -195,7 +195,7 @@
         let host = &mut self.nodes[node];
         host.core = None;
         host.life += 1;
-        host.running = version::Stamp::default();
+        host.running = version::VersionId::default();
         host.paused.clear();
         host.asleep = false;
         self.waits.remove(&node);
@@ -368,14 +368,14 @@
 
     fn run(&mut self, node: usize, applied: &mesh::Applied) {
         let before = self.nodes[node].running.version;
-        self.nodes[node].running = applied.stamp;
+        self.nodes[node].running = applied.version_id;
         self.check(node, before, applied);
-        self.nodes[node].ran = self.nodes[node].ran.max(applied.stamp.version);
+        self.nodes[node].ran = self.nodes[node].ran.max(applied.version_id.version);
     }
 
     /// What must always hold when a node swaps its configuration.
     fn check(&self, node: usize, before: version::Version, applied: &mesh::Applied) {
-        let (id, stamp) = (self.nodes[node].id, applied.stamp);
+        let (id, stamp) = (self.nodes[node].id, applied.version_id);
         assert!(stamp.version > before, "{id} goes from {before} back to {}", stamp.version);
         let ran = self.nodes[node].ran;
         assert!(stamp.version >= ran, "{id} has run {ran} and now runs {}", stamp.version);
--- a/src/spread/tests/parts.rs
+++ b/src/spread/tests/parts.rs
@@ -64,8 +64,8 @@
                     actions.extend(node.handle(event, at(millis)));
                 }
                 Action::Send { host, datagram: Datagram::Ask } => {
-                    let stamp = version::Stamp::default();
-                    let datagram = Datagram::Tell { stamp, yours: told };
+                    let stamp = version::VersionId::default();
+                    let datagram = Datagram::Tell { version_id: stamp, yours: told };
                     let event = Event::Datagram { host: *host, datagram };
                     actions.extend(node.handle(event, at(millis)));
                 }
@@ -82,12 +82,12 @@
 
 fn parcel(number: u64) -> message::Parcel {
     let file = fleet::file(number);
-    let stamp = version::Stamp {
+    let stamp = version::VersionId {
         version: version::Version::new(number),
         digest: version::Digest::of(&file),
     };
     let patch = delta::make(None, &file);
-    message::Parcel { stamp, base: version::Version::NONE, patch }
+    message::Parcel { version_id: stamp, base: version::Version::NONE, patch }
 }
 
 fn push(node: &mut Spread, number: u64, millis: u64) -> Vec<Action> {
@@ -97,7 +97,7 @@
 
 fn runs(actions: &[Action]) -> Option<u64> {
     actions.iter().find_map(|a| match a {
-        Action::Run(applied) => Some(applied.stamp.version.number()),
+        Action::Run(applied) => Some(applied.version_id.version.number()),
         _ => None,
     })
 }
@@ -129,17 +129,17 @@
     let mut node = node(0, 3, configs::spread::Spread::cascadia());
     settle(&mut node, version::Version::NONE);
     let mut wrong = parcel(5);
-    wrong.stamp.digest = version::Digest::of(b"another file");
+    wrong.version_id.digest = version::Digest::of(b"another file");
     let datagram = Datagram::Push { parcel: wrong, way: Way::Pass };
     let actions = node.handle(Event::Datagram { host: id(1), datagram }, at(30_000));
     assert_eq!(runs(&actions), None);
-    assert_eq!(node.held(), version::Stamp::default());
+    assert_eq!(node.held(), version::VersionId::default());
 }
 
 /// Host `from` announces version `number`; gives the host that is then asked for a transfer.
 fn announce(node: &mut Spread, from: u8, number: u64, millis: u64) -> Option<host::HostId> {
-    let stamp = parcel(number).stamp;
-    let datagram = Datagram::Announce { stamp, way: Way::Pass };
+    let stamp = parcel(number).version_id;
+    let datagram = Datagram::Announce { version_id: stamp, way: Way::Pass };
     let actions = node.handle(Event::Datagram { host: id(from), datagram }, at(millis));
     actions.iter().find_map(|action| match action {
         Action::Fetch { host, .. } => Some(*host),
--- a/src/spread/tests/restored.rs
+++ b/src/spread/tests/restored.rs
@@ -165,7 +165,7 @@
     let held = source.current().version;
     source.restore(lost);
     (0..lost as u64).for_each(|n| source.settle(6 + n, &file(6 + n), 0));
-    assert_eq!(confirm::look(&source.read(held.place()), held), wanted);
+    assert_eq!(confirm::look(&source.read(held.next_offset()), held), wanted);
     let newest = 5 + lost as u64;
     let all = confirm::look(&source.read(u64::MAX), held);
     let version = source.current().version;
@@ -180,8 +180,8 @@
     };
     let rising = [of(7, 0, 9), of(7, 1, 2), of(7, 1, 3), of(7, 2, 0), of(8, 0, 0), of(9, 3, 1)];
     assert!(rising.is_sorted(), "{rising:?}");
-    let back = rising.map(|v| (v.number(), v.epoch(), v.place()));
+    let back = rising.map(|v| (v.number(), v.epoch(), v.next_offset()));
     assert_eq!(back, [(7, 0, 10), (7, 1, 3), (7, 1, 4), (7, 2, 1), (8, 0, 1), (9, 3, 2)]);
     let own = version::Version::new(41);
-    assert_eq!((own.number(), own.epoch(), own.place()), (41, 0, 41));
+    assert_eq!((own.number(), own.epoch(), own.next_offset()), (41, 0, 41));
 }
--- a/src/spread/tests/source.rs
+++ b/src/spread/tests/source.rs
@@ -43,8 +43,8 @@
     }
 
     /// The version accepted last.
-    pub fn current(&self) -> version::Stamp {
-        self.fold.current().map(|a| a.stamp).unwrap_or_default()
+    pub fn current(&self) -> version::VersionId {
+        self.fold.current().map(|a| a.version_id).unwrap_or_default()
     }
 
     /// The file accepted as `version`.
@@ -90,7 +90,7 @@
         self.fold.apply(record.offset, unix_millis, &record.body);
         self.records.push(record);
         if let Some(accepted) = self.fold.current() {
-            self.accepted.insert(accepted.stamp.version, accepted.body.clone());
+            self.accepted.insert(accepted.version_id.version, accepted.body.clone());
         }
     }
 
--- a/src/version.rs
+++ b/src/version.rs
@@ -36,7 +36,7 @@
 
     /// The version's number; zero for [`Version::NONE`].
     pub const fn number(self) -> u64 {
-        match self.given() {
+        match self.assigned() {
             0 => self.low(),
             number => number,
         }
@@ -44,16 +44,16 @@
 
     /// Epoch of the log in which its record was read.
     pub const fn epoch(self) -> logs::Epoch {
-        if self.given() == 0 { 0 } else { logs::epoch(self.low()) }
+        if self.assigned() == 0 { 0 } else { logs::epoch(self.low()) }
     }
 
     /// The offset after its record, in its epoch.
-    pub const fn place(self) -> logs::Offset {
-        if self.given() == 0 { self.low() } else { logs::place(self.low()) }
+    pub const fn next_offset(self) -> logs::Offset {
+        if self.assigned() == 0 { self.low() } else { logs::next_offset(self.low()) }
     }
 
     /// The number that the log service has given; zero where the nodes judge.
-    const fn given(self) -> u64 {
+    const fn assigned(self) -> u64 {
         (self.0 >> u64::BITS) as u64
     }
 
@@ -96,11 +96,11 @@
 
 /// A version with the digest of its file.
 ///
-/// Invariant: two stamps with the same version made from the same log have the same digest.
+/// Invariant: two identifiers with the same version made from the same log have the same digest.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
-pub struct Stamp {
+pub struct VersionId {
     /// The accepted version.
     pub version: Version,
     /// Digest of the version's file.
--- a/src/view.rs
+++ b/src/view.rs
@@ -60,7 +60,7 @@
     pub version: SmolStr,
     /// What its node has seen of it while its version was tried.
     #[serde(default)]
-    pub trial: rollout::Trial,
+    pub trial: rollout::TrialReport,
 }
 
 /// One host as seen from here.
--- a/tests/calls/rig.rs
+++ b/tests/calls/rig.rs
@@ -129,8 +129,8 @@
 pub fn applied(number: u64) -> Arc<mesh::Applied> {
     let mesh = mesh::check::check(CONFIG.as_bytes()).unwrap();
     let digest = version::Digest::of(CONFIG.as_bytes());
-    let stamp = version::Stamp { version: version::Version::new(number), digest };
-    Arc::new(mesh::Applied { stamp, mesh: Arc::new(mesh) })
+    let stamp = version::VersionId { version: version::Version::new(number), digest };
+    Arc::new(mesh::Applied { version_id: stamp, mesh: Arc::new(mesh) })
 }
 
 /// Settings of a node at `listen`.
--- a/tests/fold/verdict.rs
+++ b/tests/fold/verdict.rs
@@ -42,7 +42,7 @@
 fn check_state(history: &History, fold: &fold::Fold<Toy>) {
     let expected = &history.folds[fold.next() as usize];
     assert_eq!(fold.encode().unwrap(), expected.encode().unwrap());
-    let stamps = [fold, expected].map(|f| f.current().map(|c| c.stamp));
+    let stamps = [fold, expected].map(|f| f.current().map(|c| c.version_id));
     assert_eq!(stamps[0], stamps[1]);
 }
 
--- a/tests/member/net.rs
+++ b/tests/member/net.rs
@@ -249,7 +249,7 @@
         let wake = member.wake().max(self.now + time::Duration::from_micros(1));
         for action in actions {
             match action {
-                member::Action::Heard(_) => self.slots[index].heard += 1,
+                member::Action::VersionMismatch(_) => self.slots[index].heard += 1,
                 member::Action::Send { to, datagram } => self.send(index, to, datagram),
             }
         }
--- a/tests/member/scenes.rs
+++ b/tests/member/scenes.rs
@@ -179,7 +179,7 @@
 fn heard_of_another_version() {
     let mut net = net::Net::settled(10, 1);
     assert_eq!(net.slots.iter().map(|s| s.heard).sum::<u64>(), 0);
-    let stamp = dandelionspool::version::Stamp {
+    let stamp = dandelionspool::version::VersionId {
         version: dandelionspool::version::Version::new(7),
         digest: dandelionspool::version::Digest::of(b"seven"),
     };
--- a/tests/member_shell.rs
+++ b/tests/member_shell.rs
@@ -28,7 +28,7 @@
     view: watch::Receiver<Arc<view::View>>,
     stage: watch::Sender<node::Stage>,
     applied: watch::Sender<Arc<mesh::Applied>>,
-    heard: ring::Receiver<member::Heard>,
+    heard: ring::Receiver<member::VersionMismatch>,
     traffic: Arc<traffic::Traffic>,
     _local: watch::Sender<Option<Arc<node::Local>>>,
     thread: thread::JoinHandle<Result<(), member::Error>>,
@@ -115,8 +115,8 @@
     assert!(!sees(&one, stranger.id) && !sees(&two, stranger.id));
 
     let version = version::Version::new(7);
-    let stamp = version::Stamp { version, digest: version::Digest::of(b"seven") };
-    two.applied.send_replace(Arc::new(mesh::Applied { stamp, mesh: Arc::default() }));
+    let stamp = version::VersionId { version, digest: version::Digest::of(b"seven") };
+    two.applied.send_replace(Arc::new(mesh::Applied { version_id: stamp, mesh: Arc::default() }));
     wait("version heard", || {
         one.heard.try_recv().is_ok_and(|h| h.host == two.id && h.version == version)
     });
