--- a/benches/call_path.rs
+++ b/benches/call_path.rs
@@ -144,7 +144,7 @@
         phase: view::Phase::Serving,
         slots: SLOTS,
         connections: SLOTS,
-        life: 0,
+        incarnation: 0,
         version: Default::default(),
         trial: Default::default(),
     }
@@ -251,10 +251,10 @@
     let target = listener.local_addr().unwrap();
     let run = Duty::spawn("upstream", move || upstream(listener));
     let id = |last: u8| host::HostId::new(net::SocketAddr::from(([127, 16, 0, last], 7100)));
-    let place = Arc::new(view::Place { region: "region".into(), zone: "zone".into() });
+    let place = Arc::new(view::Locality { region: "region".into(), zone: "zone".into() });
     let host = |last: u8, upstream: Option<view::Upstream>| view::Host {
         id: id(last),
-        place: Arc::clone(&place),
+        locality: Arc::clone(&place),
         incarnation: 1,
         health: view::Health::Alive,
         upstream: upstream.map(Arc::new),
--- a/benches/pick.rs
+++ b/benches/pick.rs
@@ -21,9 +21,9 @@
 const SERVICES: u16 = 370;
 const ZONES: u16 = 5;
 
-fn place(number: u16) -> view::Place {
+fn place(number: u16) -> view::Locality {
     let region = format_smolstr!("region-{}", number % 2);
-    view::Place { zone: format_smolstr!("{region}-{}", number / 2 % ZONES), region }
+    view::Locality { zone: format_smolstr!("{region}-{}", number / 2 % ZONES), region }
 }
 
 fn host(number: u16) -> view::Host {
@@ -35,13 +35,13 @@
         phase: view::Phase::Serving,
         slots: 9,
         connections: 120,
-        life: 0,
+        incarnation: 0,
         version: Default::default(),
         trial: Default::default(),
     };
     view::Host {
         id: host::HostId::new(net::SocketAddr::from(([127, 0, high, low], 7100))),
-        place: Arc::new(place(number / SERVICES)),
+        locality: Arc::new(place(number / SERVICES)),
         incarnation: 1,
         health: view::Health::Alive,
         upstream: Some(Arc::new(upstream)),
--- a/src/admin/announce.rs
+++ b/src/admin/announce.rs
@@ -299,7 +299,7 @@
             phase: announcement.phase(),
             slots: announcement.slots.min(class.slots),
             connections: announcement.connections.min(class.connections),
-            life: *life,
+            incarnation: *life,
             version: announcement.version.clone(),
             trial: rollout::TrialReport::default(),
         };
--- a/src/admin/shell.rs
+++ b/src/admin/shell.rs
@@ -78,7 +78,7 @@
     let state = Rc::new(state::State {
         ctx,
         host: settings.host(),
-        place: view::Place { region: settings.region.clone(), zone: settings.zone.clone() },
+        locality: view::Locality { region: settings.region.clone(), zone: settings.zone.clone() },
         settings: settings.admin.clone(),
         applied: wiring.applied,
         view: wiring.view,
--- a/src/admin/state.rs
+++ b/src/admin/state.rs
@@ -29,7 +29,7 @@
 pub struct State {
     pub(super) ctx: context::Context,
     pub(super) host: host::HostId,
-    pub(super) place: view::Place,
+    pub(super) locality: view::Locality,
     pub(super) settings: configs::admin::Admin,
     pub(super) applied: watch::Receiver<Arc<mesh::Applied>>,
     pub(super) view: watch::Receiver<Arc<view::View>>,
@@ -131,7 +131,7 @@
         let local = self.local.borrow().clone();
         let source = status::Source {
             host: self.host,
-            place: &self.place,
+            locality: &self.locality,
             version_id: self.applied.borrow().version_id,
             applied_unix_ms: self.applied_unix_ms.get(),
             view: &view,
@@ -194,7 +194,7 @@
     let upstream = &local.upstream;
     log::info!(
         instance = local.instance.as_str(),
-        life = upstream.life,
+        life = upstream.incarnation,
         service = upstream.service.as_str(),
         version = upstream.version.as_str(),
         phase:? = upstream.phase,
--- a/src/admin/status.rs
+++ b/src/admin/status.rs
@@ -102,7 +102,7 @@
     /// This host.
     pub host: host::HostId,
     /// Where it stands.
-    pub place: &'a view::Place,
+    pub locality: &'a view::Locality,
     /// What it runs.
     pub version_id: version::VersionId,
     /// When it was applied.
@@ -125,8 +125,8 @@
         let counts = traffic(self.traffic).into_iter();
         Status {
             host: smol_str::format_smolstr!("{}", self.host),
-            region: self.place.region.clone(),
-            zone: self.place.zone.clone(),
+            region: self.locality.region.clone(),
+            zone: self.locality.zone.clone(),
             incarnation: self.view.host(self.host).map_or(0, |h| h.incarnation),
             ready: self.ready,
             version: self.version_id.version.number(),
--- a/src/admin/tests/announce.rs
+++ b/src/admin/tests/announce.rs
@@ -174,7 +174,7 @@
 }
 
 fn life(desk: &Desk) -> Option<(u32, view::Phase)> {
-    desk.local(&shop()).map(|local| (local.upstream.life, local.upstream.phase))
+    desk.local(&shop()).map(|local| (local.upstream.incarnation, local.upstream.phase))
 }
 
 #[test]
--- a/src/admin/tests/served.rs
+++ b/src/admin/tests/served.rs
@@ -187,10 +187,10 @@
     locally(async {
         let (one, two) = (start(4), start(5));
         let absent = host::HostId::new(address(6));
-        let place = Arc::new(view::Place { region: "region".into(), zone: "zone".into() });
+        let place = Arc::new(view::Locality { region: "region".into(), zone: "zone".into() });
         let known = [one.host, two.host, absent].map(|id| view::Host {
             id,
-            place: Arc::clone(&place),
+            locality: Arc::clone(&place),
             incarnation: 1,
             health: view::Health::Alive,
             upstream: None,
--- a/src/bench/policies/setup.rs
+++ b/src/bench/policies/setup.rs
@@ -113,8 +113,8 @@
 }
 
 /// Where the host with `index` stands.
-pub(super) fn place(index: usize) -> view::Place {
-    view::Place { region: SmolStr::new_static("south"), zone: SmolStr::new_static(zone(index)) }
+pub(super) fn place(index: usize) -> view::Locality {
+    view::Locality { region: SmolStr::new_static("south"), zone: SmolStr::new_static(zone(index)) }
 }
 
 /// What the membership says; it knows of a cold upstream and of no other fault.
@@ -130,13 +130,13 @@
         phase: if cold { view::Phase::Warming } else { view::Phase::Serving },
         slots: SLOTS,
         connections: CONNECTIONS,
-        life: 0,
+        incarnation: 0,
         version: Default::default(),
         trial: Default::default(),
     };
     view::Host {
         id: id(index),
-        place: Arc::new(place(index)),
+        locality: Arc::new(place(index)),
         incarnation: 1,
         health: view::Health::Alive,
         upstream: Some(Arc::new(upstream)),
--- a/src/claim/tests/shell.rs
+++ b/src/claim/tests/shell.rs
@@ -80,10 +80,10 @@
 
 impl Node {
     fn see(&self, hosts: &[host::HostId]) {
-        let place = Arc::new(view::Place { region: "region".into(), zone: "zone".into() });
+        let place = Arc::new(view::Locality { region: "region".into(), zone: "zone".into() });
         let host = |&id: &host::HostId| view::Host {
             id,
-            place: Arc::clone(&place),
+            locality: Arc::clone(&place),
             incarnation: 1,
             health: view::Health::Alive,
             upstream: None,
--- a/src/member/detect.rs
+++ b/src/member/detect.rs
@@ -98,7 +98,7 @@
         let (table, zones) = (&self.table, &self.zones);
         let wanted = |id| {
             let entry = table.get(id).filter(|e| e.is_present());
-            entry.is_some_and(|e| !zones.is_dark(&e.record.place.zone))
+            entry.is_some_and(|e| !zones.is_dark(&e.record.locality.zone))
         };
         if let Some(target) = self.prober.choose(&self.peers, &mut self.rng, wanted) {
             self.probe(target, true);
@@ -202,7 +202,7 @@
         let table = &self.table;
         let present = self.peers.iter().copied().filter(|&id| Some(id) != but);
         let inside = |id: &host::HostId| {
-            table.get(*id).is_some_and(|e| e.claim.is_none() && e.record.place.zone == *zone)
+            table.get(*id).is_some_and(|e| e.claim.is_none() && e.record.locality.zone == *zone)
         };
         let inside: Vec<_> = present.filter(inside).collect();
         inside.sample(&mut self.rng, CHECKED).copied().collect()
@@ -260,7 +260,7 @@
     fn end_suspicion(&mut self, id: host::HostId) {
         self.detect.clear(id);
         let Some(entry) = self.table.get(id) else { return };
-        let (zone, incarnation) = (entry.record.place.zone.clone(), entry.record.incarnation);
+        let (zone, incarnation) = (entry.record.locality.zone.clone(), entry.record.incarnation);
         if !self.zones.heard_since(&zone, entry.since) && self.check_zone(&zone, Some(id)) {
             self.detect.suspect(id, self.now + self.patience());
             return;
@@ -274,7 +274,7 @@
     fn knock(&mut self) {
         self.detect.knocks = self.detect.knocks.wrapping_add(1);
         let lost = |id: host::HostId, e: &table::Entry| {
-            let dark = e.is_present() && self.zones.is_dark(&e.record.place.zone);
+            let dark = e.is_present() && self.zones.is_dark(&e.record.locality.zone);
             id != self.id && (dark || e.claim == Some(wire::Claim::Dead))
         };
         let lost: Vec<_> = self.table.iter().filter(|(id, e)| lost(*id, e)).collect();
@@ -302,7 +302,7 @@
 
     /// Counts the hosts of a zone that was dark for too long as dead, without telling anyone.
     fn bury(&mut self, zone: &SmolStr) {
-        let inside = |e: &table::Entry| e.is_present() && e.record.place.zone == *zone;
+        let inside = |e: &table::Entry| e.is_present() && e.record.locality.zone == *zone;
         let hosts = self.table.iter().filter(|(id, e)| *id != self.id && inside(e));
         let hosts: Vec<_> = hosts.map(|(id, e)| (id, e.record.incarnation)).collect();
         for (id, incarnation) in hosts {
@@ -348,7 +348,7 @@
     }
 
     fn zone(&self, id: host::HostId) -> Option<SmolStr> {
-        self.table.get(id).map(|e| e.record.place.zone.clone())
+        self.table.get(id).map(|e| e.record.locality.zone.clone())
     }
 
     /// Time for one round of probes of a zone.
--- a/src/member/directory.rs
+++ b/src/member/directory.rs
@@ -22,7 +22,7 @@
     /// Number of the life in which it said so.
     pub incarnation: u64,
     /// Where it stands.
-    pub place: view::Place,
+    pub locality: view::Locality,
     /// The upstream beside it; `None` while there is none.
     pub upstream: Option<view::Upstream>,
 }
@@ -54,7 +54,7 @@
             (service, class, upstream.version.clone(), upstream.slots, upstream.connections)
         };
         let (ours, theirs) = (self.upstream.as_ref(), other.upstream.as_ref());
-        self.place == other.place && ours.map(lasting) == theirs.map(lasting)
+        self.locality == other.locality && ours.map(lasting) == theirs.map(lasting)
     }
 }
 
--- a/src/member/directory/search.rs
+++ b/src/member/directory/search.rs
@@ -52,7 +52,7 @@
     /// Number of this life of its process.
     pub incarnation: u64,
     /// Where it stands.
-    pub place: view::Place,
+    pub locality: view::Locality,
     /// The upstream beside it.
     pub local: watch::Receiver<Option<Arc<node::Local>>>,
     /// Configuration that it runs, which tells the epoch of the log.
@@ -62,7 +62,11 @@
 impl Own {
     fn profile(&self) -> directory::Profile {
         let upstream = self.local.borrow().as_ref().map(|local| local.upstream.clone());
-        directory::Profile { incarnation: self.incarnation, place: self.place.clone(), upstream }
+        directory::Profile {
+            incarnation: self.incarnation,
+            locality: self.locality.clone(),
+            upstream,
+        }
     }
 
     /// Waits until the upstream has announced itself, for a while at most.
--- a/src/member/directory/search/tests.rs
+++ b/src/member/directory/search/tests.rs
@@ -109,7 +109,7 @@
         phase,
         slots,
         connections: 9,
-        life: 1,
+        incarnation: 1,
         version: Default::default(),
         trial: Default::default(),
     };
@@ -125,7 +125,7 @@
     let own = search::Own {
         host: id(last),
         incarnation: 3,
-        place: view::Place { region: "r".into(), zone: "z".into() },
+        locality: view::Locality { region: "r".into(), zone: "z".into() },
         local: receiver,
         applied: running,
     };
--- a/src/member/gossip.rs
+++ b/src/member/gossip.rs
@@ -128,7 +128,7 @@
             self.accused(incarnation, claim);
             return;
         }
-        let zone = self.table.get(id).map(|e| e.record.place.zone.clone());
+        let zone = self.table.get(id).map(|e| e.record.locality.zone.clone());
         let dark = zone.is_some_and(|z| self.zones.is_dark(&z));
         if dark && claim == wire::Claim::Suspect {
             return;
@@ -327,21 +327,21 @@
 /// The record that `found` stands for in its datagram.
 fn read(datagram: &wire::Datagram, found: &wire::Record) -> table::Record {
     let region = datagram.name(found.region);
-    let place = view::Place { region, zone: datagram.name(found.zone) };
+    let place = view::Locality { region, zone: datagram.name(found.zone) };
     let upstream = found.upstream.map(|u| view::Upstream {
         service: datagram.name(u.service),
         class: datagram.name(u.class),
         phase: u.phase,
         slots: u.slots,
         connections: u.connections,
-        life: u.life,
+        incarnation: u.incarnation,
         version: u.release.map(|r| datagram.name(r.version)).unwrap_or_default(),
         trial: u.release.and_then(|r| r.trial).unwrap_or_default(),
     });
     table::Record {
         incarnation: found.incarnation,
         serial: found.serial,
-        place: place.into(),
+        locality: place.into(),
         upstream: upstream.map(Into::into),
     }
 }
--- a/src/member/join.rs
+++ b/src/member/join.rs
@@ -181,7 +181,7 @@
         let record = table::Record {
             incarnation: profile.incarnation,
             serial: 0,
-            place: profile.place.into(),
+            locality: profile.locality.into(),
             upstream: profile.upstream.map(Into::into),
         };
         let change = self.table.merge(host, record, self.now);
--- a/src/member/mod.rs
+++ b/src/member/mod.rs
@@ -103,7 +103,7 @@
 /// The membership decision of one host.
 pub struct Member {
     id: host::HostId,
-    place: Arc<view::Place>,
+    locality: Arc<view::Locality>,
     settings: configs::member::Member,
     rng: rngs::Xoshiro256PlusPlus,
     now: clock::Instant,
@@ -139,10 +139,10 @@
     /// same address, as `unix_millis` is.
     pub fn new(settings: &configs::Node, seed: u64, incarnation: u64, now: clock::Instant) -> Self {
         let id = host::HostId::new(settings.listen);
-        let place = view::Place { region: settings.region.clone(), zone: settings.zone.clone() };
+        let place = view::Locality { region: settings.region.clone(), zone: settings.zone.clone() };
         let mut member = Self {
             id,
-            place: Arc::new(place),
+            locality: Arc::new(place),
             settings: settings.member.clone(),
             rng: rngs::Xoshiro256PlusPlus::seed_from_u64(seed),
             now,
@@ -215,7 +215,7 @@
     }
 
     fn host(&self, id: host::HostId, entry: &table::Entry) -> view::Host {
-        let dark = self.zones.is_dark(&entry.record.place.zone) && id != self.id;
+        let dark = self.zones.is_dark(&entry.record.locality.zone) && id != self.id;
         let health = match entry.claim {
             _ if dark => view::Health::Unreachable,
             None if self.doubts(entry) => view::Health::Suspect,
@@ -225,7 +225,7 @@
         };
         view::Host {
             id,
-            place: Arc::clone(&entry.record.place),
+            locality: Arc::clone(&entry.record.locality),
             incarnation: entry.record.incarnation,
             health,
             upstream: entry.record.upstream.clone(),
@@ -298,8 +298,9 @@
 
     /// Replaces this host's own record and spreads it.
     fn announce(&mut self, (incarnation, serial): (u64, u32), rank: rumors::Rank) {
-        let place = Arc::clone(&self.place);
-        let record = table::Record { incarnation, serial, place, upstream: self.upstream() };
+        let place = Arc::clone(&self.locality);
+        let record =
+            table::Record { incarnation, serial, locality: place, upstream: self.upstream() };
         if self.table.merge(self.id, record, self.now) == table::Change::Same {
             // The highest incarnation can't be outlived.
             return;
--- a/src/member/shell.rs
+++ b/src/member/shell.rs
@@ -74,7 +74,7 @@
     let own = search::Own {
         host,
         incarnation,
-        place: view::Place { region: settings.region.clone(), zone: settings.zone.clone() },
+        locality: view::Locality { region: settings.region.clone(), zone: settings.zone.clone() },
         local: wiring.local.clone(),
         applied: wiring.applied.clone(),
     };
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -30,7 +30,7 @@
     /// Number of the record within the incarnation; zero while only a claim is known of it.
     pub serial: u32,
     /// Where it stands.
-    pub place: Arc<view::Place>,
+    pub locality: Arc<view::Locality>,
     /// The upstream beside it.
     pub upstream: Option<Arc<view::Upstream>>,
 }
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     entries: collections::BTreeMap<Key, Entry>,
-    places: collections::BTreeSet<Arc<view::Place>>,
+    places: collections::BTreeSet<Arc<view::Locality>>,
     root: u32,
     gone: usize,
 }
@@ -89,7 +89,7 @@
     /// Adds the record, which is that of `id`, to a datagram; says whether it fitted.
     pub fn pack(&self, id: host::HostId, packer: &mut wire::Packer) -> bool {
         let account = (self.incarnation, self.serial);
-        packer.record(id, account, &self.place, self.upstream.as_ref())
+        packer.record(id, account, &self.locality, self.upstream.as_ref())
     }
 }
 
@@ -149,7 +149,7 @@
 
     /// Merges a host's record.
     pub fn merge(&mut self, id: host::HostId, mut record: Record, now: clock::Instant) -> Change {
-        record.place = self.intern(record.place);
+        record.locality = self.intern(record.locality);
         let key = Key::of(id);
         let Some(entry) = self.entries.get(&key) else {
             self.put(key, Entry { record, claim: None, since: now });
@@ -215,7 +215,7 @@
         self.entries.insert(key, entry);
     }
 
-    fn intern(&mut self, place: Arc<view::Place>) -> Arc<view::Place> {
+    fn intern(&mut self, place: Arc<view::Locality>) -> Arc<view::Locality> {
         if let Some(known) = self.places.get(&place) {
             return Arc::clone(known);
         }
--- a/src/member/tests/table.rs
+++ b/src/member/tests/table.rs
@@ -24,18 +24,18 @@
 
 /// The record that a host makes with this incarnation and serial; the same each time.
 fn record(incarnation: u64, serial: u32) -> table::Record {
-    let place = view::Place { region: "region".into(), zone: "zone".into() };
+    let place = view::Locality { region: "region".into(), zone: "zone".into() };
     let upstream = view::Upstream {
         service: "service".into(),
         class: "class".into(),
         phase: view::Phase::Serving,
         slots: serial as u16,
         connections: incarnation as u16,
-        life: 0,
+        incarnation: 0,
         version: Default::default(),
         trial: Default::default(),
     };
-    table::Record { incarnation, serial, place: place.into(), upstream: Some(upstream.into()) }
+    table::Record { incarnation, serial, locality: place.into(), upstream: Some(upstream.into()) }
 }
 
 fn apply(table: &mut table::Table, account: &Account) {
@@ -149,6 +149,6 @@
 #[test]
 fn places_are_held_once() {
     let table = first();
-    let places: Vec<_> = table.iter().map(|(_, e)| Arc::as_ptr(&e.record.place)).collect();
+    let places: Vec<_> = table.iter().map(|(_, e)| Arc::as_ptr(&e.record.locality)).collect();
     assert!(places.iter().all(|p| *p == places[0]));
 }
--- a/src/member/tests/wire.rs
+++ b/src/member/tests/wire.rs
@@ -78,7 +78,7 @@
 /// host could read it.
 #[test]
 fn an_item_that_does_not_fit_leaves_the_others_whole() {
-    let place = view::Place { region: "region".into(), zone: "zone".into() };
+    let place = view::Locality { region: "region".into(), zone: "zone".into() };
     let mut packer = wire::Packer::new(host(7100), wire::Body::Gossip);
     let mut records = 0;
     while packer.record(host(7000 + records), (1, 1), &place, None) {
@@ -123,13 +123,13 @@
         let mut packed = 0;
         for i in 0..count {
             let name = |n: usize| names[(i + n) % names.len()].as_str().into();
-            let place = view::Place { region: name(0), zone: name(1) };
+            let place = view::Locality { region: name(0), zone: name(1) };
             let upstream = view::Upstream {
                 service: name(2),
                 class: name(3),
                 phase: view::Phase::Serving,
                 slots: 9,
-                connections: 130, life: 0, version: Default::default(), trial: Default::default() };
+                connections: 130, incarnation: 0, version: Default::default(), trial: Default::default() };
             let account = (1_700_000_000_000 + i as u64, i as u32);
             packed += usize::from(packer.record(
                 host(7000 + i as u16),
--- a/src/member/wire.rs
+++ b/src/member/wire.rs
@@ -124,7 +124,7 @@
     /// Connections it accepts.
     pub connections: u16,
     /// Number of its life within that of its node.
-    pub life: u32,
+    pub incarnation: u32,
     /// Its version; `None` where it tells none.
     pub release: Option<Release>,
 }
@@ -380,7 +380,7 @@
         &mut self,
         host: host::HostId,
         (incarnation, serial): (u64, u32),
-        place: &view::Place,
+        place: &view::Locality,
         upstream: Option<&Arc<view::Upstream>>,
     ) -> bool {
         let known = self.names.len();
@@ -412,7 +412,7 @@
         &mut self,
         host: host::HostId,
         (incarnation, serial): (u64, u32),
-        place: &view::Place,
+        place: &view::Locality,
         upstream: Option<&Arc<view::Upstream>>,
     ) -> Option<Record> {
         let region = self.intern(&place.region)?;
@@ -424,7 +424,7 @@
                 phase: upstream.phase,
                 slots: upstream.slots,
                 connections: upstream.connections,
-                life: upstream.life,
+                incarnation: upstream.incarnation,
                 release: self.release(upstream)?,
             }),
             None => None,
--- a/src/pick/peer.rs
+++ b/src/pick/peer.rs
@@ -143,7 +143,7 @@
         warmup: time::Duration,
         now: clock::Instant,
     ) {
-        if (self.incarnation, self.life) != (host.incarnation, upstream.life) {
+        if (self.incarnation, self.life) != (host.incarnation, upstream.incarnation) {
             self.told = None;
             self.service = 0;
             self.pace = (1.0, now);
@@ -151,7 +151,7 @@
             self.warming = None;
         }
         self.incarnation = host.incarnation;
-        self.life = upstream.life;
+        self.life = upstream.incarnation;
         self.listed = true;
         self.health = host.health;
         self.slots = upstream.slots.min(most);
--- a/src/pick/picker.rs
+++ b/src/pick/picker.rs
@@ -46,7 +46,7 @@
 
 impl Picker {
     /// A picker for the entry at `place`, with no upstream yet.
-    pub fn new(place: view::Place, settings: &configs::call::Call, seed: u64) -> Self {
+    pub fn new(place: view::Locality, settings: &configs::call::Call, seed: u64) -> Self {
         let policy = pick::Cheapest { candidates: settings.candidates };
         Self::with_policy(policy, place, settings, seed)
     }
@@ -56,12 +56,12 @@
     /// A picker that chooses by `policy`.
     pub fn with_policy(
         policy: P,
-        place: view::Place,
+        place: view::Locality,
         settings: &configs::call::Call,
         seed: u64,
     ) -> Self {
         Self {
-            stand: table::Stand { place, host: None },
+            stand: table::Stand { locality: place, host: None },
             policy,
             rules: peer::Rules::new(settings),
             rng: rngs::SmallRng::seed_from_u64(seed),
--- a/src/pick/table.rs
+++ b/src/pick/table.rs
@@ -22,14 +22,14 @@
 /// Where the entry stands.
 #[derive(Clone, Debug)]
 pub(super) struct Stand {
-    pub(super) place: view::Place,
+    pub(super) locality: view::Locality,
     /// Its host, if that is told apart from others of the zone.
     pub(super) host: Option<host::HostId>,
 }
 
 impl Stand {
     fn tier(&self, other: &view::Host) -> usize {
-        let (theirs, ours) = (&other.place, &self.place);
+        let (theirs, ours) = (&other.locality, &self.locality);
         match (theirs.region == ours.region, theirs.zone == ours.zone) {
             (true, true) if self.host == Some(other.id) => 0,
             (true, true) => AWAY,
--- a/src/pick/tests.rs
+++ b/src/pick/tests.rs
@@ -31,8 +31,8 @@
     host::HostId::new(net::SocketAddr::from(([127, 0, 0, number], 7100)))
 }
 
-fn place(zone: &str) -> view::Place {
-    view::Place { region: SmolStr::new_static("north"), zone: SmolStr::new(zone) }
+fn place(zone: &str) -> view::Locality {
+    view::Locality { region: SmolStr::new_static("north"), zone: SmolStr::new(zone) }
 }
 
 fn host(number: u8, zone: &str, phase: view::Phase) -> view::Host {
@@ -42,13 +42,13 @@
         phase,
         slots: 9,
         connections: 120,
-        life: 0,
+        incarnation: 0,
         version: Default::default(),
         trial: Default::default(),
     };
     view::Host {
         id: id(number),
-        place: Arc::new(place(zone)),
+        locality: Arc::new(place(zone)),
         incarnation: 1,
         health: view::Health::Alive,
         upstream: Some(Arc::new(upstream)),
@@ -502,7 +502,7 @@
     assert_eq!(picker.peer(choice).expect("known").service(), Some(1000.0));
     let mut again = host(1, "a", view::Phase::Warming);
     let upstream = again.upstream.take().expect("an upstream");
-    again.upstream = Some(Arc::new(view::Upstream { life: 1, ..(*upstream).clone() }));
+    again.upstream = Some(Arc::new(view::Upstream { incarnation: 1, ..(*upstream).clone() }));
     rebuild(&mut picker, vec![again], 2);
     let choice = picker.pick(SHOP, at(2), &[]).expect("a choice");
     assert_eq!(picker.peer(choice).expect("known").service(), None);
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -133,7 +133,7 @@
         wiring: &wiring::Wiring<C>,
     ) -> Self {
         let me = host::HostId::new(settings.listen);
-        let place = view::Place { region: settings.region.clone(), zone: settings.zone.clone() };
+        let place = view::Locality { region: settings.region.clone(), zone: settings.zone.clone() };
         let mut picker = pick::Picker::new(place, &settings.call, ctx.seed_for("pick"));
         if settings.proxy.link_mbps > 0.0 {
             picker = picker.at(me);
@@ -377,9 +377,9 @@
     /// another life. Calls that ran in a life which has ended would hold their slots until their
     /// deadline; those of another instance, which may be leaving, go on.
     fn greet(&self, local: &node::Local) {
-        let now = (local.instance.clone(), local.upstream.life);
+        let now = (local.instance.clone(), local.upstream.incarnation);
         let Some((instance, life)) = self.seen.replace(Some(now)) else { return };
-        if life == local.upstream.life {
+        if life == local.upstream.incarnation {
             return;
         }
         if instance == local.instance {
@@ -410,7 +410,7 @@
     pub fn ended(&self, prints: &[quarantine::Fingerprint]) {
         let local = self.local.borrow();
         let Some(local) = local.as_ref() else { return };
-        self.trace.upstream_ended(&local.instance, local.upstream.life, prints);
+        self.trace.upstream_ended(&local.instance, local.upstream.incarnation, prints);
         self.suspects.ended(prints);
     }
 
--- a/src/rollout/tests.rs
+++ b/src/rollout/tests.rs
@@ -354,20 +354,20 @@
 
 fn host(n: u8, version: &str) -> view::Host {
     let listen = std::net::SocketAddr::from(([10, 0, 0, n], 7000));
-    let place = view::Place { region: "r".into(), zone: "z".into() };
+    let place = view::Locality { region: "r".into(), zone: "z".into() };
     let upstream = view::Upstream {
         service: "shop".into(),
         class: "shop".into(),
         phase: view::Phase::Serving,
         slots: 4,
         connections: 100,
-        life: 1,
+        incarnation: 1,
         version: version.into(),
         trial: rollout::TrialReport::default(),
     };
     view::Host {
         id: host::HostId::new(listen),
-        place: place.into(),
+        locality: place.into(),
         incarnation: 1,
         health: view::Health::Alive,
         upstream: Some(upstream.into()),
--- a/src/spread/peers.rs
+++ b/src/spread/peers.rs
@@ -49,7 +49,7 @@
     pub fn update(&mut self, view: &Arc<view::View>, zone: &SmolStr) {
         let alive = view.hosts.iter().filter(|h| h.health == view::Health::Alive);
         let (near, far): (Vec<&view::Host>, Vec<&view::Host>) =
-            alive.filter(|h| h.id != self.me).partition(|h| h.place.zone == *zone);
+            alive.filter(|h| h.id != self.me).partition(|h| h.locality.zone == *zone);
         self.zone = near.iter().map(|h| h.id).chain([self.me]).collect();
         self.remote = far.iter().map(|h| h.id).collect();
         self.readers = tree::readers(&self.zone);
--- a/src/spread/tests/net.rs
+++ b/src/spread/tests/net.rs
@@ -71,7 +71,7 @@
     /// Its identity.
     pub id: host::HostId,
     /// Where it stands.
-    pub place: Arc<view::Place>,
+    pub locality: Arc<view::Locality>,
     /// Its decisions, while its process lives.
     pub core: Option<Spread>,
     /// What it runs.
@@ -155,7 +155,7 @@
             views: true,
         };
         for zone in 0..zones {
-            let place = Arc::new(view::Place {
+            let place = Arc::new(view::Locality {
                 region: format_smolstr!("region-{}", zone / 2),
                 zone: format_smolstr!("zone-{zone}"),
             });
@@ -166,10 +166,10 @@
         net
     }
 
-    fn place(&mut self, ip: net::Ipv4Addr, place: &Arc<view::Place>) {
+    fn place(&mut self, ip: net::Ipv4Addr, place: &Arc<view::Locality>) {
         self.nodes.push(Node {
             id: host::HostId::new((ip, 7100).into()),
-            place: Arc::clone(place),
+            locality: Arc::clone(place),
             core: None,
             running: version::VersionId::default(),
             ran: version::Version::NONE,
@@ -183,7 +183,7 @@
     /// Adds a host to the zone of `like` and starts it.
     pub fn add(&mut self, like: usize) -> usize {
         let index = self.nodes.len();
-        let place = Arc::clone(&self.nodes[like].place);
+        let place = Arc::clone(&self.nodes[like].locality);
         self.place(net::Ipv4Addr::new(127, 10, 0, index as u8), &place);
         self.start(index);
         self.put(self.now, Item::Views);
@@ -208,7 +208,7 @@
         let id = self.nodes[node].id;
         let identity = Identity {
             host: id,
-            zone: self.nodes[node].place.zone.clone(),
+            zone: self.nodes[node].locality.zone.clone(),
             join: true,
             wait: time::Duration::from_secs(10),
             retention: time::Duration::from_secs(86_400),
@@ -426,7 +426,7 @@
         let up = host.core.is_some() && !host.asleep && self.reaches(by, other);
         view::Host {
             id: host.id,
-            place: Arc::clone(&host.place),
+            locality: Arc::clone(&host.locality),
             incarnation: host.life,
             health: if up { view::Health::Alive } else { view::Health::Unreachable },
             upstream: None,
@@ -441,6 +441,6 @@
 
     /// Names the zone of `node`.
     pub fn zone(&self, node: usize) -> SmolStr {
-        self.nodes[node].place.zone.clone()
+        self.nodes[node].locality.zone.clone()
     }
 }
--- a/src/spread/tests/net/links.rs
+++ b/src/spread/tests/net/links.rs
@@ -37,7 +37,7 @@
     }
 
     pub(super) fn reaches(&self, from: usize, to: usize) -> bool {
-        self.joined || self.nodes[from].place.region == self.nodes[to].place.region
+        self.joined || self.nodes[from].locality.region == self.nodes[to].locality.region
     }
 
     pub(super) fn delay(&mut self) -> clock::Instant {
--- a/src/spread/tests/parts.rs
+++ b/src/spread/tests/parts.rs
@@ -28,10 +28,10 @@
 }
 
 fn view(hosts: u8) -> Arc<view::View> {
-    let place = Arc::new(view::Place { region: "r".into(), zone: "z".into() });
+    let place = Arc::new(view::Locality { region: "r".into(), zone: "z".into() });
     let host = |n| view::Host {
         id: id(n),
-        place: Arc::clone(&place),
+        locality: Arc::clone(&place),
         incarnation: 1,
         health: view::Health::Alive,
         upstream: None,
--- a/src/usage/post.rs
+++ b/src/usage/post.rs
@@ -70,7 +70,7 @@
         let mut writers: Vec<(u64, host::HostId)> = view
             .hosts
             .iter()
-            .filter(|h| h.place.zone == self.zone && h.health != view::Health::Unreachable)
+            .filter(|h| h.locality.zone == self.zone && h.health != view::Health::Unreachable)
             .map(|h| (h.id.weight(PURPOSE, 0), h.id))
             .collect();
         let kept = (self.count + SPARE).min(writers.len());
--- a/src/view.rs
+++ b/src/view.rs
@@ -11,7 +11,7 @@
 
 /// Where a host stands.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Place {
+pub struct Locality {
     /// Region, an area whose availability zones are close to each other.
     pub region: SmolStr,
     /// Availability zone; its name is unique within the mesh.
@@ -54,7 +54,7 @@
     /// Connections it accepts.
     pub connections: u16,
     /// Number of its life within that of its node; another life knows nothing of the one before.
-    pub life: u32,
+    pub incarnation: u32,
     /// Version of its software; empty where it tells none.
     #[serde(default)]
     pub version: SmolStr,
@@ -69,7 +69,7 @@
     /// Identity and addresses.
     pub id: host::HostId,
     /// Region and availability zone.
-    pub place: Arc<Place>,
+    pub locality: Arc<Locality>,
     /// Number of this life of the host's process; a later life has a higher one.
     pub incarnation: u64,
     /// Whether it answers.
--- a/tests/calls/drain.rs
+++ b/tests/calls/drain.rs
@@ -317,7 +317,7 @@
         let lost = lost.header("dandelionspool-deadline-ms", "4000");
         let again = async {
             rig::until(|| fake.runs("lost") == 1).await;
-            let upstream = view::Upstream { life: 1, ..rig::shop(1) };
+            let upstream = view::Upstream { incarnation: 1, ..rig::shop(1) };
             let address = fake.address;
             let local = node::Local { address, instance: Default::default(), upstream };
             nodes[1].local.send_replace(Some(Arc::new(local)));
@@ -338,7 +338,7 @@
         let nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
         let next = async {
             rig::until(|| fake.runs("other") == 1).await;
-            let upstream = view::Upstream { life: 1, ..rig::shop(4) };
+            let upstream = view::Upstream { incarnation: 1, ..rig::shop(4) };
             let local = node::Local { address: fake.address, instance: "next".into(), upstream };
             nodes[1].local.send_replace(Some(Arc::new(local)));
         };
--- a/tests/calls/rig.rs
+++ b/tests/calls/rig.rs
@@ -119,7 +119,7 @@
         phase: view::Phase::Serving,
         slots,
         connections: 20,
-        life: 0,
+        incarnation: 0,
         version: Default::default(),
         trial: Default::default(),
     }
@@ -170,10 +170,10 @@
 
 /// Tells each node of all, and waits until it has taken that into use.
 pub async fn join(nodes: &[Node]) {
-    let place = Arc::new(view::Place { region: "region".into(), zone: "zone".into() });
+    let place = Arc::new(view::Locality { region: "region".into(), zone: "zone".into() });
     let hosts = nodes.iter().map(|node| view::Host {
         id: node.id,
-        place: Arc::clone(&place),
+        locality: Arc::clone(&place),
         incarnation: 1,
         health: view::Health::Alive,
         upstream: node.upstream.clone().map(Arc::new),
--- a/tests/member/cold.rs
+++ b/tests/member/cold.rs
@@ -18,7 +18,7 @@
         let settings = net::settings(index);
         directory::Profile {
             incarnation: 1,
-            place: view::Place { region: settings.region, zone: settings.zone },
+            locality: view::Locality { region: settings.region, zone: settings.zone },
             upstream: Some(net::upstream(index, view::Phase::Serving)),
         }
     };
--- a/tests/member/feed.rs
+++ b/tests/member/feed.rs
@@ -141,7 +141,7 @@
 
 fn pack(packer: &mut wire::Packer, index: usize, life: u64, phase: view::Phase) -> bool {
     let (region, zone) = net::ZONES[index % net::ZONES.len()];
-    let place = view::Place { region: region.into(), zone: zone.into() };
+    let place = view::Locality { region: region.into(), zone: zone.into() };
     let upstream = net::upstream(index, phase).into();
     let serial = 1 + phase as u32;
     packer.record(net::id(index), (life, serial), &place, Some(&upstream))
--- a/tests/member/net.rs
+++ b/tests/member/net.rs
@@ -104,7 +104,7 @@
         phase,
         slots: 9,
         connections: 130,
-        life: 0,
+        incarnation: 0,
         version: Default::default(),
         trial: Default::default(),
     }
--- a/tests/member_shell.rs
+++ b/tests/member_shell.rs
@@ -54,7 +54,7 @@
         phase: view::Phase::Serving,
         slots: 9,
         connections: 130,
-        life: 0,
+        incarnation: 0,
         version: Default::default(),
         trial: Default::default(),
     };
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -80,10 +80,10 @@
     let host =
         |n| host::HostId::new(net::SocketAddr::from(([127, 208 + (high & 7), low, n], 7100)));
     let settings = configs::Node { listen: host(1).member_addr(), ..configs::Node::default() };
-    let place = Arc::new(view::Place { region: "region".into(), zone: "zone".into() });
+    let place = Arc::new(view::Locality { region: "region".into(), zone: "zone".into() });
     let hosts = [1, 2].map(|n| view::Host {
         id: host(n),
-        place: Arc::clone(&place),
+        locality: Arc::clone(&place),
         incarnation: 1,
         health: view::Health::Alive,
         upstream: None,
