--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -91,7 +91,8 @@
 fn print_verdict(digest: version::Digest, checked: &Result<mesh::Mesh, fault::Faults>) {
     let faults = checked.as_ref().err().map_or(&[][..], fault::Faults::list);
     let digest = digest.to_string();
-    let verdict = Verdict { accepted: checked.is_ok(), digest, faults, format: check::FORMAT };
+    let verdict =
+        Verdict { accepted: checked.is_ok(), digest, faults, format: check::LATEST_FORMAT };
     println!("{}", serde_json::json!(verdict));
 }
 
--- a/src/configs/limits.rs
+++ b/src/configs/limits.rs
@@ -221,7 +221,7 @@
 
 /// Adds a fault if `port`, which stands at `pointer`, can't be the base port of a host.
 fn check_port(port: u16, pointer: &str, faults: &mut Vec<fault::Fault>) {
-    let most = u16::MAX - host::PORTS;
+    let most = u16::MAX - host::PORT_COUNT;
     let (bound, limit) = match port {
         0 => (fault::Bound::AtLeast, 1),
         port if port > most => (fault::Bound::AtMost, most),
--- a/src/host.rs
+++ b/src/host.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 /// How many consecutive ports a node uses.
-pub const PORTS: u16 = 6;
+pub const PORT_COUNT: u16 = 6;
 
 const SPREAD_OFFSET: u16 = 1;
 const INNER_OFFSET: u16 = 2;
@@ -19,7 +19,7 @@
 
 /// A host, named by its address and base port.
 ///
-/// Invariant: the base port is at most `65535 - PORTS`, checked where settings are read and where
+/// Invariant: the base port is at most `65535 - PORT_COUNT`, checked where settings are read and where
 /// a datagram is decoded; a larger one wraps and names no reachable host.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct HostId(net::SocketAddr);
@@ -31,7 +31,7 @@
     }
 
     /// The host whose configuration datagrams come from `address`.
-    pub fn of_spread(address: net::SocketAddr) -> Self {
+    pub fn from_spread_addr(address: net::SocketAddr) -> Self {
         let port = address.port().wrapping_sub(SPREAD_OFFSET);
         Self(net::SocketAddr::new(address.ip(), port))
     }
--- a/src/logs/connection.rs
+++ b/src/logs/connection.rs
@@ -68,7 +68,7 @@
     /// A new connection.
     pub async fn connect(&self) -> Result<Sender, Error> {
         let stream = TcpStream::connect(self.address).await?;
-        socket::tune(&stream)?;
+        socket::configure(&stream)?;
         let counted = Counted { stream, traffic: Arc::clone(&self.traffic) };
         let (sender, connection) = http1::handshake(TokioIo::new(counted)).await?;
         tokio::spawn(async move {
--- a/src/member/wire.rs
+++ b/src/member/wire.rs
@@ -288,7 +288,7 @@
 
 fn check_host(id: host::HostId) -> Result<(), Error> {
     let port = id.member_addr().port();
-    if port == 0 || port > u16::MAX - host::PORTS { Err(Error::Port) } else { Ok(()) }
+    if port == 0 || port > u16::MAX - host::PORT_COUNT { Err(Error::Port) } else { Ok(()) }
 }
 
 fn check_body(body: &Body) -> Result<(), Error> {
--- a/src/mesh/check.rs
+++ b/src/mesh/check.rs
@@ -23,18 +23,18 @@
 mod tests;
 
 /// The newest format this build knows: the one before it with orders of roll-outs.
-pub const FORMAT: u32 = 4;
+pub const LATEST_FORMAT: u32 = 4;
 
 /// The format without orders of roll-outs. Its rules are frozen.
-pub const PLAIN: u32 = 3;
+pub const FORMAT_3: u32 = 3;
 
 /// The first format, which says team for organisation. Its rules are frozen.
 ///
 /// 2 was never given out: the frozen verdicts of format 1 refuse it.
-pub const FIRST: u32 = 1;
+pub const FORMAT_1: u32 = 1;
 
 /// Largest file, in bytes.
-pub const LIMIT_BYTES: usize = 1 << 20;
+pub const MAX_BYTES: usize = 1 << 20;
 
 /// Checks the file `body` and converts it.
 ///
@@ -43,8 +43,8 @@
 /// Every fault of the file at once. The exceptions are a file that is too large, is not JSON or
 /// has another format number: its one fault hides what else may be wrong.
 pub fn check(body: &[u8]) -> Result<mesh::Mesh, fault::Faults> {
-    if body.len() > LIMIT_BYTES {
-        let problem = fault::Problem::TooLarge { bytes: body.len(), limit: LIMIT_BYTES };
+    if body.len() > MAX_BYTES {
+        let problem = fault::Problem::TooLarge { bytes: body.len(), limit: MAX_BYTES };
         return Err(single(problem));
     }
     let mut faults = Vec::new();
--- a/src/mesh/check/build.rs
+++ b/src/mesh/check/build.rs
@@ -22,7 +22,7 @@
 ///
 /// Only when schema, checks and border types disagree, which tests rule out.
 pub fn build(mut root: Value, format: u32) -> Result<mesh::Mesh, fault::Problem> {
-    if format == check::FIRST {
+    if format == check::FORMAT_1 {
         rename_teams(&mut root);
     }
     let file = configuration::Configuration::deserialize(root)
--- a/src/mesh/check/items.rs
+++ b/src/mesh/check/items.rs
@@ -33,7 +33,7 @@
         for item in services.iter() {
             kinds.push(List::read(item.value, &item.pointer(), "kinds", faults));
         }
-        let organisations = if format == check::FIRST { "teams" } else { "organisations" };
+        let organisations = if format == check::FORMAT_1 { "teams" } else { "organisations" };
         Self {
             format,
             organisations: List::read(root, "", organisations, faults),
--- a/src/mesh/check/links.rs
+++ b/src/mesh/check/links.rs
@@ -8,7 +8,7 @@
 
 /// Adds every reference of `draft` that leads nowhere to `faults`.
 pub fn check(draft: &items::Draft<'_>, faults: &mut Vec<fault::Fault>) {
-    let organisation = if draft.format == check::FIRST { "team" } else { "organisation" };
+    let organisation = if draft.format == check::FORMAT_1 { "team" } else { "organisation" };
     for service in draft.services.iter() {
         follow(&service, organisation, &draft.organisations, faults);
     }
@@ -24,7 +24,7 @@
 /// An order must name a service, each at most once, and a version; older formats know of none.
 fn check_rollouts(draft: &items::Draft<'_>, faults: &mut Vec<fault::Fault>) {
     let rollouts = &draft.rollouts;
-    if draft.format < check::FORMAT {
+    if draft.format < check::LATEST_FORMAT {
         if !rollouts.is_empty() {
             faults.push(fault::Fault::new(&rollouts.pointer, fault::Problem::UnknownField));
         }
--- a/src/mesh/check/shape.rs
+++ b/src/mesh/check/shape.rs
@@ -22,7 +22,7 @@
     jsonschema::draft7::new(&schema).map_err(|e| e.to_string())
 }
 
-/// The format of a tree: [`check::FORMAT`], [`check::PLAIN`] or [`check::FIRST`].
+/// The format of a tree: [`check::LATEST_FORMAT`], [`check::FORMAT_3`] or [`check::FORMAT_1`].
 ///
 /// A missing or non-numeric format is left to a schema: the newest one where the file says
 /// organisation, else that of the first format, whose verdicts on it are frozen.
@@ -33,20 +33,20 @@
 pub fn format(root: &Value) -> Result<u32, fault::Fault> {
     let Some(Value::Number(found)) = root.get("format") else {
         let newest = root.get("organisations").is_some();
-        return Ok(if newest { check::PLAIN } else { check::FIRST });
+        return Ok(if newest { check::FORMAT_3 } else { check::FORMAT_1 });
     };
-    let known = [check::FIRST, check::PLAIN, check::FORMAT];
+    let known = [check::FORMAT_1, check::FORMAT_3, check::LATEST_FORMAT];
     let format = known.into_iter().find(|&known| found.as_u64() == Some(u64::from(known)));
     format.ok_or_else(|| {
         let problem =
-            fault::Problem::WrongFormat { found: found.to_string(), known: check::FORMAT };
+            fault::Problem::WrongFormat { found: found.to_string(), known: check::LATEST_FORMAT };
         fault::Fault::new("/format", problem)
     })
 }
 
 /// Adds every way in which `root` breaks the schema of `format` to `faults`.
 pub fn check(root: &Value, format: u32, faults: &mut Vec<fault::Fault>) {
-    let validator = if format == check::FIRST { &*FIRST_VALIDATOR } else { &*NEWEST_VALIDATOR };
+    let validator = if format == check::FORMAT_1 { &*FIRST_VALIDATOR } else { &*NEWEST_VALIDATOR };
     match validator {
         Ok(validator) => validator.iter_errors(root).for_each(|e| add(&e, faults)),
         Err(reason) => {
--- a/src/mesh/check/tests.rs
+++ b/src/mesh/check/tests.rs
@@ -156,7 +156,7 @@
 #[test]
 fn a_file_above_the_limit_is_too_large() {
     let mut body = br#"{"format":1}"#.to_vec();
-    body.resize(check::LIMIT_BYTES, b' ');
+    body.resize(check::MAX_BYTES, b' ');
     assert_eq!(faults(&body), expected(&[]));
     body.push(b' ');
     assert_eq!(faults(&body), expected(&[("", "too_large")]));
--- a/src/proxy/links.rs
+++ b/src/proxy/links.rs
@@ -129,7 +129,7 @@
 
     async fn connect(&self, host: host::HostId) -> Result<Sender, Error> {
         let stream = TcpStream::connect(host.inner_addr()).await?;
-        socket::tune(&stream)?;
+        socket::configure(&stream)?;
         let proxy = &self.settings.proxy;
         let (mut send, conn) = http2::Builder::new(Here)
             .timer(TokioTimer::new())
--- a/src/proxy/pool.rs
+++ b/src/proxy/pool.rs
@@ -131,7 +131,7 @@
 
 async fn open(address: net::SocketAddr) -> io::Result<Conn> {
     let stream = TcpStream::connect(address).await?;
-    socket::tune(&stream)?;
+    socket::configure(&stream)?;
     let stream = stream.into_std()?;
     let probe = stream.try_clone()?;
     let stream = TcpStream::from_std(stream)?;
--- a/src/proxy/serve.rs
+++ b/src/proxy/serve.rs
@@ -100,7 +100,7 @@
     stream: TcpStream,
     closing: wiring::Closing,
 ) {
-    if let Err(error) = socket::tune(&stream) {
+    if let Err(error) = socket::configure(&stream) {
         log::debug!("a connection of a caller ended at once: {error}");
         return;
     }
@@ -127,7 +127,7 @@
     mut closing: wiring::Closing,
 ) {
     let proxy = &state.settings.proxy;
-    if let Err(error) = socket::tune(&stream) {
+    if let Err(error) = socket::configure(&stream) {
         log::debug!("a connection of a node ended at once: {error}");
         return;
     }
--- a/src/socket.rs
+++ b/src/socket.rs
@@ -21,7 +21,7 @@
 /// # Errors
 ///
 /// An option that the kernel refuses.
-pub fn tune(stream: &TcpStream) -> io::Result<()> {
+pub fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
     let probes =
--- a/src/spread/shell.rs
+++ b/src/spread/shell.rs
@@ -184,7 +184,7 @@
         counts.received(bytes.len());
         match wire::decode(&self.link.seal, bytes) {
             Ok(message::Envelope { host, datagram }) => {
-                let host = host.unwrap_or_else(|| host::HostId::of_spread(from));
+                let host = host.unwrap_or_else(|| host::HostId::from_spread_addr(from));
                 Some(decision::Event::Datagram { host, datagram })
             }
             Err(error) => {
--- a/src/standin/fault/server.rs
+++ b/src/standin/fault/server.rs
@@ -71,7 +71,7 @@
             links.push((listen(*known).await?, *target, way));
         }
         let mut ports = Vec::new();
-        for number in 0..host::PORTS {
+        for number in 0..host::PORT_COUNT {
             for (known, bound) in &options.hosts {
                 let way = rules::Way { from: None, to: *known, port: number };
                 links.push((listen(port(*known, number)).await?, port(*bound, number), way));
