--- a/src/member/directory.rs
+++ b/src/member/directory.rs
@@ -78,7 +78,7 @@
     fn is_shared(&self) -> bool;
 
     /// Lists `host` with its `profile`.
-    fn enter(
+    fn register(
         &self,
         host: host::HostId,
         profile: &Profile,
@@ -88,7 +88,10 @@
     fn hosts(&self) -> impl future::Future<Output = Result<Vec<Listed>, Self::Error>>;
 
     /// Strikes `host` off.
-    fn leave(&self, host: host::HostId) -> impl future::Future<Output = Result<(), Self::Error>>;
+    fn deregister(
+        &self,
+        host: host::HostId,
+    ) -> impl future::Future<Output = Result<(), Self::Error>>;
 }
 
 /// The directory of a node whose settings name the hosts to join.
@@ -109,7 +112,7 @@
         false
     }
 
-    async fn enter(&self, _host: host::HostId, _profile: &Profile) -> Result<(), Self::Error> {
+    async fn register(&self, _host: host::HostId, _profile: &Profile) -> Result<(), Self::Error> {
         Ok(())
     }
 
@@ -118,7 +121,7 @@
         Ok(self.0.iter().map(listed).collect())
     }
 
-    async fn leave(&self, _host: host::HostId) -> Result<(), Self::Error> {
+    async fn deregister(&self, _host: host::HostId) -> Result<(), Self::Error> {
         Ok(())
     }
 }
--- a/src/member/directory/search.rs
+++ b/src/member/directory/search.rs
@@ -247,7 +247,7 @@
         if self.listed.as_ref().is_some_and(|listed| listed.is_like(&profile)) {
             return true;
         }
-        match self.directory.enter(self.own.host, &profile).await {
+        match self.directory.register(self.own.host, &profile).await {
             Ok(()) => {
                 self.listed = Some(profile);
                 true
@@ -262,7 +262,7 @@
 
 /// Strikes `host` off, as far as that succeeds in a short time.
 pub(in crate::member) async fn leave<D: directory::Directory>(directory: &D, host: host::HostId) {
-    match tokio::time::timeout(LEAVE, directory.leave(host)).await {
+    match tokio::time::timeout(LEAVE, directory.deregister(host)).await {
         Ok(Ok(())) => {}
         Ok(Err(error)) => log::warn!(error:% = error; "this host stays listed"),
         Err(_) => log::warn!("this host stays listed: the directory did not answer in time"),
--- a/src/member/directory/search/tests.rs
+++ b/src/member/directory/search/tests.rs
@@ -61,7 +61,7 @@
         true
     }
 
-    async fn enter(
+    async fn register(
         &self,
         host: host::HostId,
         profile: &directory::Profile,
@@ -84,7 +84,7 @@
         Ok(book.hosts.iter().map(listed).collect())
     }
 
-    async fn leave(&self, host: host::HostId) -> Result<(), Self::Error> {
+    async fn deregister(&self, host: host::HostId) -> Result<(), Self::Error> {
         self.book().hosts.remove(&host);
         Ok(())
     }
--- a/src/member/quarantined.rs
+++ b/src/member/quarantined.rs
@@ -84,12 +84,12 @@
 
 impl member::Member {
     /// Whether [`member::Member::snapshot`] would give something else than last time.
-    pub fn has_learned(&self) -> bool {
+    pub fn quarantine_changed(&self) -> bool {
         self.quarantine.changed
     }
 
     /// What is known of requests under which upstreams end.
-    pub fn snapshot(&mut self) -> quarantine::Snapshot {
+    pub fn quarantine_snapshot(&mut self) -> quarantine::Snapshot {
         self.quarantine.changed = false;
         self.quarantine.table.snapshot()
     }
--- a/src/member/shell.rs
+++ b/src/member/shell.rs
@@ -39,7 +39,7 @@
     pub view: watch::Sender<Arc<view::View>>,
     /// To the distribution duty: peers that run something else. Full: dropped, since the next
     /// probe says it again.
-    pub heard: ring::Sender<member::VersionMismatch>,
+    pub mismatches: ring::Sender<member::VersionMismatch>,
     /// The upstream beside this node.
     pub local: watch::Receiver<Option<Arc<node::Local>>>,
     /// Requests under which upstreams end.
@@ -84,7 +84,7 @@
         member,
         search: search::Search::start(directory.clone(), own, &settings.member),
         published: clock::Instant::ZERO,
-        buffer: vec![0; wire::MOST_BYTES + 1],
+        buffer: vec![0; wire::MAX_BYTES + 1],
         ctx,
         socket,
         wiring,
@@ -179,12 +179,15 @@
         for action in self.member.handle(event, self.ctx.now()) {
             match action {
                 // A full ring is counted by the ring; the next probe says the same again.
-                member::Action::VersionMismatch(heard) => drop(self.wiring.heard.offer(heard)),
+                member::Action::VersionMismatch(heard) => drop(self.wiring.mismatches.offer(heard)),
                 member::Action::Send { to, datagram } => self.send(to, &datagram).await,
             }
         }
-        if self.member.has_learned() {
-            self.wiring.quarantine.snapshot.send_replace(Arc::new(self.member.snapshot()));
+        if self.member.quarantine_changed() {
+            self.wiring
+                .quarantine
+                .snapshot
+                .send_replace(Arc::new(self.member.quarantine_snapshot()));
         }
         let due = self.ctx.now().since(self.published) >= PUBLISH;
         let turned = self.member.standing() != standing;
@@ -220,7 +223,7 @@
 
 /// The datagram in `message`, if it is one of this mesh.
 fn open(seal: &seal::Seal, message: &[u8]) -> Option<wire::Datagram> {
-    if message.len() > wire::MOST_BYTES {
+    if message.len() > wire::MAX_BYTES {
         return None;
     }
     wire::decode(seal.open(message).ok()?).ok()
--- a/src/member/tests/wire.rs
+++ b/src/member/tests/wire.rs
@@ -100,7 +100,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn any_bytes_are_survived(bytes in proptest::collection::vec(any::<u8>(), 0..wire::MOST_BYTES)) {
+    fn any_bytes_are_survived(bytes in proptest::collection::vec(any::<u8>(), 0..wire::MAX_BYTES)) {
         let _ = wire::decode(&bytes);
     }
 
@@ -141,7 +141,7 @@
         let datagram = packer.finish();
         prop_assert_eq!(datagram.items.len(), packed);
         let bytes = wire::encode(&datagram).unwrap();
-        prop_assert!(bytes.len() + seal::TAG_BYTES <= wire::MOST_BYTES);
+        prop_assert!(bytes.len() + seal::TAG_BYTES <= wire::MAX_BYTES);
         prop_assert_eq!(wire::decode(&bytes), Ok(datagram));
     }
 }
--- a/src/member/wire.rs
+++ b/src/member/wire.rs
@@ -17,7 +17,7 @@
 use crate::view;
 
 /// Largest datagram, its tag included; passes every link without fragments.
-pub const MOST_BYTES: usize = 1200;
+pub const MAX_BYTES: usize = 1200;
 
 /// Children of one node of the digest tree.
 pub const FANOUT: usize = 16;
@@ -349,7 +349,7 @@
     pub fn new(from: host::HostId, body: Body) -> Self {
         // Two bytes each hold the counts of names and items of a full datagram.
         let used = seal::TAG_BYTES + size(&from) + size(&body) + 4;
-        let left = MOST_BYTES.saturating_sub(used);
+        let left = MAX_BYTES.saturating_sub(used);
         Self { from, body, names: Vec::new(), items: Vec::new(), left }
     }
 
@@ -470,5 +470,5 @@
 /// Bytes `value` takes on the wire; more than any datagram when it can't be encoded.
 fn size<T: Serialize>(value: &T) -> usize {
     let counted = postcard::serialize_with_flavor(value, ser_flavors::Size::default());
-    counted.unwrap_or(MOST_BYTES)
+    counted.unwrap_or(MAX_BYTES)
 }
--- a/src/node/shell.rs
+++ b/src/node/shell.rs
@@ -174,7 +174,7 @@
         let member = self.member(member::shell::Wiring {
             applied: applied.clone(),
             view: view_in,
-            heard: heard_in,
+            mismatches: heard_in,
             local: local.clone(),
             quarantine: reported,
             stage: self.stage.subscribe(),
--- a/tests/member/net.rs
+++ b/tests/member/net.rs
@@ -269,7 +269,7 @@
             datagram.items.clear();
         }
         let message = self.seal.seal(&wire::encode(&datagram).unwrap());
-        assert!(message.len() <= wire::MOST_BYTES, "{} bytes", message.len());
+        assert!(message.len() <= wire::MAX_BYTES, "{} bytes", message.len());
         self.slots[from].sent += message.len() as u64;
         self.slots[from].datagrams += 1;
         let Some(&to) = self.ids.get(&to) else { return };
--- a/tests/member/quarantine.rs
+++ b/tests/member/quarantine.rs
@@ -24,7 +24,7 @@
 /// How long host `index` refuses `print` for.
 fn left(net: &mut net::Net, index: usize, print: Fingerprint) -> Option<time::Duration> {
     let now = net.now;
-    net.slots[index].member.as_mut()?.snapshot().remaining(print, 0.0, now)
+    net.slots[index].member.as_mut()?.quarantine_snapshot().remaining(print, 0.0, now)
 }
 
 /// The running hosts that let `BAD` pass.
--- a/tests/member_shell.rs
+++ b/tests/member_shell.rs
@@ -68,7 +68,7 @@
     let wiring = member::shell::Wiring {
         applied: applied_rx,
         view: view_tx,
-        heard: heard_tx,
+        mismatches: heard_tx,
         local: local_rx,
         quarantine: quarantine::channel().1,
         stage: stage_rx,
