--- a/benches/delta.rs
+++ b/benches/delta.rs
@@ -11,10 +11,10 @@
     let (base, next) = (fixture::file(None), fixture::file(Some(185)));
     let digest = Digest::of(&next);
     for (name, base) in [("delta", Some(&base[..])), ("whole", None)] {
-        let patch = delta::make(base, &next);
-        criterion.bench_function(&format!("make {name}"), |b| b.iter(|| delta::make(base, &next)));
+        let patch = delta::diff(base, &next);
+        criterion.bench_function(&format!("make {name}"), |b| b.iter(|| delta::diff(base, &next)));
         criterion.bench_function(&format!("restore {name}"), |b| {
-            b.iter(|| delta::restore(base, &patch, digest));
+            b.iter(|| delta::apply(base, &patch, digest));
         });
     }
 }
--- a/src/bench/converge.rs
+++ b/src/bench/converge.rs
@@ -123,7 +123,7 @@
     for _ in 0..args.changes {
         let before = operator.body().clone();
         let change = operator.publish().await.map_err(refused)?;
-        delta += (delta::make(Some(&before), &change.body).size() + version::DIGEST_BYTES) as f64;
+        delta += (delta::diff(Some(&before), &change.body).size() + version::DIGEST_BYTES) as f64;
         tokio::time::sleep(time::Duration::from_secs(args.period_s)).await;
         for status in sample::statuses(fleet).await {
             let runs = status.filter(|s| s.version == change.version.number());
--- a/src/delta/frame.rs
+++ b/src/delta/frame.rs
@@ -62,9 +62,9 @@
 fn bounded<R: io::BufRead>(mut decoder: read::Decoder<'_, R>) -> io::Result<Bytes> {
     decoder.window_log_max(WINDOW_LOG)?;
     let mut file = Vec::new();
-    let limit = delta::FILE_BYTES as u64 + 1;
+    let limit = delta::MAX_FILE_BYTES as u64 + 1;
     decoder.take(limit).read_to_end(&mut file)?;
-    if file.len() > delta::FILE_BYTES {
+    if file.len() > delta::MAX_FILE_BYTES {
         return Err(io::ErrorKind::FileTooLarge.into());
     }
     Ok(file.into())
--- a/src/fold/record.rs
+++ b/src/fold/record.rs
@@ -111,9 +111,9 @@
     },
 }
 
-/// Encodes `record`, whose body has at most [`delta::FILE_BYTES`].
+/// Encodes `record`, whose body has at most [`delta::MAX_FILE_BYTES`].
 pub fn encode(record: &Record) -> Result<Bytes, Error> {
-    if record.body().len() > delta::FILE_BYTES {
+    if record.body().len() > delta::MAX_FILE_BYTES {
         return Err(Error::Body(io::ErrorKind::FileTooLarge.into()));
     }
     let (format, content) = match record {
--- a/src/member/directory/search/tests.rs
+++ b/src/member/directory/search/tests.rs
@@ -231,7 +231,7 @@
 
 /// The host runs a configuration read in `epoch`.
 fn run(host: &Host, epoch: u64) {
-    let version = version::Version::settled(3, crate::logs::ordinal(epoch, 4));
+    let version = version::Version::assigned(3, crate::logs::ordinal(epoch, 4));
     let stamp = version::VersionId { version, ..Default::default() };
     host.applied.send_replace(Arc::new(mesh::Applied { version_id: stamp, ..Default::default() }));
 }
--- a/src/node/shell.rs
+++ b/src/node/shell.rs
@@ -183,7 +183,7 @@
         let spread = self.spread(spread::shell::Wiring {
             applied: applied_in,
             view: view.clone(),
-            heard,
+            mismatches: heard,
             log: self.log(),
             stage: self.stage.subscribe(),
             traffic: Arc::clone(&self.traffic),
--- a/src/spread/shelf.rs
+++ b/src/spread/shelf.rs
@@ -80,7 +80,7 @@
         if let Some(patch) = self.patches.get(&base) {
             return Some(message::Parcel { version_id: stamp, base, patch: patch.clone() });
         }
-        let patch = delta::make(from.map(|f| &f.body[..]), &newest.body);
+        let patch = delta::diff(from.map(|f| &f.body[..]), &newest.body);
         self.patches.insert(base, patch.clone());
         Some(message::Parcel { version_id: stamp, base, patch })
     }
@@ -88,7 +88,7 @@
     /// The file a parcel leads to, checked against its digest.
     pub fn open(&self, parcel: &message::Parcel) -> Result<Bytes, delta::Error> {
         let base = self.files.iter().find(|f| f.version_id.version == parcel.base);
-        delta::restore(base.map(|f| &f.body[..]), &parcel.patch, parcel.version_id.digest)
+        delta::apply(base.map(|f| &f.body[..]), &parcel.patch, parcel.version_id.digest)
     }
 
     fn older_bytes(&self) -> usize {
--- a/src/spread/shell.rs
+++ b/src/spread/shell.rs
@@ -47,7 +47,7 @@
     /// The known hosts.
     pub view: watch::Receiver<Arc<view::View>>,
     /// From the membership duty: peers that run something else.
-    pub heard: ring::Receiver<member::VersionMismatch>,
+    pub mismatches: ring::Receiver<member::VersionMismatch>,
     /// The platform's log.
     pub log: L,
     /// Stage of the process; the duty ends at [`node::Stage::End`].
@@ -109,7 +109,7 @@
         applied: wiring.applied,
         log: wiring.log,
     };
-    shell.turn(inbox, wiring.view, wiring.heard, wiring.stage).await;
+    shell.turn(inbox, wiring.view, wiring.mismatches, wiring.stage).await;
     Ok(())
 }
 
--- a/src/spread/tests/parts.rs
+++ b/src/spread/tests/parts.rs
@@ -86,7 +86,7 @@
         version: version::Version::new(number),
         digest: version::Digest::of(&file),
     };
-    let patch = delta::make(None, &file);
+    let patch = delta::diff(None, &file);
     message::Parcel { version_id: stamp, base: version::Version::NONE, patch }
 }
 
@@ -256,7 +256,7 @@
 }
 
 fn settled(offset: u64) -> logs::Record {
-    let version = version::Version::settled(offset + 1, logs::ordinal(0, offset));
+    let version = version::Version::assigned(offset + 1, logs::ordinal(0, offset));
     let settled = record::Settled { version, format: 1, body: fleet::file(offset).into() };
     let body = record::encode(&record::Record::Settled(settled)).expect("encodes");
     logs::Record { offset, unix_millis: 0, body }
--- a/src/spread/tests/recovery.rs
+++ b/src/spread/tests/recovery.rs
@@ -23,7 +23,7 @@
 }
 
 fn read(number: u64, epoch: logs::Epoch, offset: u64) -> version::Version {
-    version::Version::settled(number, logs::ordinal(epoch, offset))
+    version::Version::assigned(number, logs::ordinal(epoch, offset))
 }
 
 /// Guards against a node that follows an order which another one has replaced, since the log's copy is older.
--- a/src/spread/tests/restored.rs
+++ b/src/spread/tests/restored.rs
@@ -176,7 +176,7 @@
 #[test]
 fn versions_rise_by_number_then_epoch_then_place() {
     let of = |number, epoch, offset| {
-        version::Version::settled(number, crate::logs::ordinal(epoch, offset))
+        version::Version::assigned(number, crate::logs::ordinal(epoch, offset))
     };
     let rising = [of(7, 0, 9), of(7, 1, 2), of(7, 1, 3), of(7, 2, 0), of(8, 0, 0), of(9, 3, 1)];
     assert!(rising.is_sorted(), "{rising:?}");
--- a/src/spread/tests/source.rs
+++ b/src/spread/tests/source.rs
@@ -64,7 +64,7 @@
     /// Appends the operator's configuration `number`, which the log accepts itself.
     pub fn settle(&mut self, number: u64, file: &[u8], unix_millis: u64) {
         self.settles = true;
-        let version = version::Version::settled(number, logs::ordinal(self.epoch, self.next()));
+        let version = version::Version::assigned(number, logs::ordinal(self.epoch, self.next()));
         let body = Bytes::copy_from_slice(file);
         let settled = record::Settled { version, format: 1, body };
         let record = record::encode(&record::Record::Settled(settled)).expect("encodes");
--- a/src/spread/tests/whole.rs
+++ b/src/spread/tests/whole.rs
@@ -90,7 +90,7 @@
         net.publish(&next);
         net.pass(SECOND * 3);
         sent += net.counts.bytes - before;
-        least += 100 * (delta::make(Some(&base), &next).size() + version::DIGEST_BYTES);
+        least += 100 * (delta::diff(Some(&base), &next).size() + version::DIGEST_BYTES);
         base = next;
     }
     let ratio = sent as f64 / least as f64;
--- a/src/spread/transfer.rs
+++ b/src/spread/transfer.rs
@@ -23,7 +23,7 @@
 const FETCH_BYTES: usize = 256;
 
 /// Largest answer, in bytes.
-const SERVED_BYTES: usize = delta::FILE_BYTES + message::OVERHEAD;
+const SERVED_BYTES: usize = delta::MAX_FILE_BYTES + message::OVERHEAD;
 
 /// Why a transfer failed.
 #[derive(Debug, thiserror::Error)]
--- a/src/version.rs
+++ b/src/version.rs
@@ -30,34 +30,38 @@
 
     /// The version that the log service has given the number `number`, from 1 on, read as the record of
     /// `ordinal`.
-    pub const fn settled(number: u64, ordinal: u64) -> Self {
+    pub const fn assigned(number: u64, ordinal: u64) -> Self {
         Self((number as u128) << u64::BITS | ordinal as u128)
     }
 
     /// The version's number; zero for [`Version::NONE`].
     pub const fn number(self) -> u64 {
-        match self.assigned() {
-            0 => self.low(),
+        match self.assigned_number() {
+            0 => self.low_bits(),
             number => number,
         }
     }
 
     /// Epoch of the log in which its record was read.
     pub const fn epoch(self) -> logs::Epoch {
-        if self.assigned() == 0 { 0 } else { logs::epoch(self.low()) }
+        if self.assigned_number() == 0 { 0 } else { logs::epoch(self.low_bits()) }
     }
 
     /// The offset after its record, in its epoch.
     pub const fn next_offset(self) -> logs::Offset {
-        if self.assigned() == 0 { self.low() } else { logs::next_offset(self.low()) }
+        if self.assigned_number() == 0 {
+            self.low_bits()
+        } else {
+            logs::next_offset(self.low_bits())
+        }
     }
 
     /// The number that the log service has given; zero where the nodes judge.
-    const fn assigned(self) -> u64 {
+    const fn assigned_number(self) -> u64 {
         (self.0 >> u64::BITS) as u64
     }
 
-    const fn low(self) -> u64 {
+    const fn low_bits(self) -> u64 {
         self.0 as u64
     }
 }
--- a/tests/delta.rs
+++ b/tests/delta.rs
@@ -22,8 +22,8 @@
         base in proptest::option::of(proptest::collection::vec(any::<u8>(), 0..2000)),
         next in proptest::collection::vec(any::<u8>(), 0..2000),
     ) {
-        let patch = delta::make(base.as_deref(), &next);
-        let restored = delta::restore(base.as_deref(), &patch, Digest::of(&next)).unwrap();
+        let patch = delta::diff(base.as_deref(), &next);
+        let restored = delta::apply(base.as_deref(), &patch, Digest::of(&next)).unwrap();
         prop_assert_eq!(restored, Bytes::from(next));
     }
 
@@ -34,8 +34,8 @@
     ) {
         let expect = Digest::of(b"what was meant");
         let bytes = Bytes::from(bytes);
-        for patch in [Patch::Delta(bytes.clone()), Patch::Whole(bytes.clone()), Patch::Plain(bytes)] {
-            prop_assert!(delta::restore(Some(&base), &patch, expect).is_err());
+        for patch in [Patch::Delta(bytes.clone()), Patch::Compressed(bytes.clone()), Patch::Uncompressed(bytes)] {
+            prop_assert!(delta::apply(Some(&base), &patch, expect).is_err());
         }
     }
 }
@@ -45,28 +45,28 @@
     let base: Vec<u8> = (0..4000u32).flat_map(|n| n.to_le_bytes()).collect();
     let mut next = base.clone();
     next[8000] ^= 1;
-    let patch = delta::make(Some(&base), &next);
+    let patch = delta::diff(Some(&base), &next);
     assert!(matches!(patch, Patch::Delta(_)));
     let expect = Digest::of(&next);
-    assert!(delta::restore(None, &patch, expect).is_err());
+    assert!(delta::apply(None, &patch, expect).is_err());
     let mut other = base.clone();
     other[9000] ^= 1;
-    assert!(delta::restore(Some(&other), &patch, expect).is_err());
+    assert!(delta::apply(Some(&other), &patch, expect).is_err());
 }
 
 #[test]
 fn a_frame_that_grows_beyond_the_limit_is_refused() {
-    let large = vec![0; delta::FILE_BYTES + 1];
-    let patch = delta::make(None, &large);
+    let large = vec![0; delta::MAX_FILE_BYTES + 1];
+    let patch = delta::diff(None, &large);
     assert!(patch.size() < 1000);
-    let error = delta::restore(None, &patch, Digest::of(&large)).unwrap_err();
+    let error = delta::apply(None, &patch, Digest::of(&large)).unwrap_err();
     assert!(matches!(error, delta::Error::Frame(_)), "{error:?}");
 }
 
 fn delta_size(base: &[u8], next: &[u8]) -> usize {
-    let patch = delta::make(Some(base), next);
+    let patch = delta::diff(Some(base), next);
     assert!(matches!(patch, Patch::Delta(_)));
-    assert_eq!(delta::restore(Some(base), &patch, Digest::of(next)).unwrap(), next);
+    assert_eq!(delta::apply(Some(base), &patch, Digest::of(next)).unwrap(), next);
     patch.size()
 }
 
@@ -77,7 +77,7 @@
 fn a_change_of_one_route_takes_few_bytes(#[case] service: usize) {
     let (base, next) = (fixture::file(None), fixture::file(Some(service)));
     dandelionspool::mesh::check::check(&next).unwrap();
-    let (delta, whole) = (delta_size(&base, &next), delta::make(None, &next).size());
+    let (delta, whole) = (delta_size(&base, &next), delta::diff(None, &next).size());
     assert!(delta <= ROUTE_BYTES, "{delta} bytes");
     assert!(100 * delta <= whole, "{delta} bytes of {whole}");
 }
--- a/tests/fold/settled.rs
+++ b/tests/fold/settled.rs
@@ -7,7 +7,7 @@
 
 fn settled(offset: u64, body: &[u8]) -> logs::Record {
     let body = Bytes::copy_from_slice(body);
-    let version = version::Version::settled(offset + 1, logs::ordinal(0, offset));
+    let version = version::Version::assigned(offset + 1, logs::ordinal(0, offset));
     let settled = record::Settled { version, format: rules::NEWEST, body };
     let record = record::Record::Settled(settled);
     let body = record::encode(&record).expect("encoded");
--- a/tests/fold/verdict.rs
+++ b/tests/fold/verdict.rs
@@ -241,7 +241,7 @@
 
 #[test]
 fn a_file_too_large_is_not_encoded() {
-    let body = Bytes::from(vec![0; dandelionspool::delta::FILE_BYTES + 1]);
+    let body = Bytes::from(vec![0; dandelionspool::delta::MAX_FILE_BYTES + 1]);
     let publish =
         record::Publish { format: 1, base: Version::NONE, id: id::PublishId::default(), body };
     assert!(record::encode(&record::Record::Publish(publish)).is_err());
