--- a/benches/fold.rs
+++ b/benches/fold.rs
@@ -11,7 +11,7 @@
 fn publish(base: u64, id: u8) -> Bytes {
     let body = fixture::file(Some(usize::from(id))).into();
     let (base, id) = (Version::new(base), id::PublishId::new([id; 16]));
-    let publish = record::Publish { format: rules::NEWEST, base, id, body };
+    let publish = record::Publish { format: rules::NEWEST_FORMAT, base, id, body };
     record::encode(&record::Record::Publish(publish)).unwrap_or_default()
 }
 
--- a/src/bench/converge/baseline.rs
+++ b/src/bench/converge/baseline.rs
@@ -83,7 +83,7 @@
         };
         let Some(last) = batch.records.last() else { return cursor };
         let held = last.offset + 1;
-        if held > cursor && record::decode(&last.body, rules::NEWEST).is_ok() {
+        if held > cursor && record::decode(&last.body, rules::NEWEST_FORMAT).is_ok() {
             self.held.store(held, atomic::Ordering::Relaxed);
             self.seen.store(report::unix_millis(), atomic::Ordering::Relaxed);
         }
--- a/src/cli/publish.rs
+++ b/src/cli/publish.rs
@@ -14,7 +14,7 @@
 use crate::cli::{exit, follow};
 use crate::configs;
 use crate::context;
-use crate::fold::{id, memory, record, rules, submit};
+use crate::fold::{id, outcomes, record, rules, submit};
 use crate::logs::http;
 use crate::mesh;
 use crate::version;
@@ -91,7 +91,7 @@
     let file = read(args)?;
     let base = version::Version::new(args.base);
     let id = args.publish_id.unwrap_or_else(|| id::PublishId::derive(base, &file));
-    let publish = record::Publish { format: rules::NEWEST, base, id, body: file };
+    let publish = record::Publish { format: rules::NEWEST_FORMAT, base, id, body: file };
     let answer = send(args, publish)?;
     conclude(args, id, answer)
 }
@@ -128,17 +128,17 @@
         Err(error) => return Err(untold(args, error, publish_id)),
     };
     match answer.outcome {
-        memory::Outcome::Accepted(stamp) => {
+        outcomes::Outcome::Accepted(stamp) => {
             accepted(args, stamp, answer.repeated, publish_id);
             let limit = time::Duration::from_millis(args.follow_ms);
             args.follow.map_or(Ok(()), |node| follow::follow(node, stamp.version, limit))
         }
-        memory::Outcome::Conflict { current } => {
+        outcomes::Outcome::Conflict { current } => {
             let base = args.base;
             print(args, &Verdict::Conflict { base, current: current.number(), publish_id });
             Err(exit::Failure::Refused(Error::Conflict { base, current }.into()))
         }
-        memory::Outcome::Invalid => {
+        outcomes::Outcome::Invalid => {
             print(args, &Verdict::Invalid { faults: mesh::fault::Faults::default() });
             Err(exit::Failure::Refused(Error::Refused.into()))
         }
--- a/src/fold/follow.rs
+++ b/src/fold/follow.rs
@@ -45,9 +45,9 @@
         self.reader.at_end()
     }
 
-    /// See [`reader::Reader::stranded`].
-    pub fn stranded(&self) -> bool {
-        self.reader.stranded()
+    /// See [`reader::Reader::needs_snapshot`].
+    pub fn needs_snapshot(&self) -> bool {
+        self.reader.needs_snapshot()
     }
 
     /// Reads once and judges what came. At the end of the stream waits up to `wait` for more.
@@ -69,6 +69,6 @@
     ) -> Result<Vec<fold::Judged<R::Faults>>, S::Error> {
         let from = self.reader.from();
         let batch = self.service.read(logs::streams::CONFIG, from, most, wait).await?;
-        Ok(self.reader.take(&batch))
+        Ok(self.reader.apply_batch(&batch))
     }
 }
--- a/src/fold/mod.rs
+++ b/src/fold/mod.rs
@@ -14,7 +14,7 @@
 
 pub mod follow;
 pub mod id;
-pub mod memory;
+pub mod outcomes;
 pub mod reader;
 pub mod record;
 pub mod rules;
@@ -52,7 +52,7 @@
     /// A publish whose id was seen before; no effect.
     Repeated {
         /// What became of the first one.
-        first: memory::Outcome,
+        first: outcomes::Outcome,
     },
     /// A snapshot that gave the state; read on from [`Fold::next`], which has moved back.
     Adopted(version::VersionId),
@@ -84,9 +84,9 @@
 
 /// The latest place in the log that a joiner can start from: its beginning or a snapshot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Anchor {
+pub struct ReplayStart {
     /// A joiner that starts here or earlier comes to know the state.
-    pub through: logs::Offset,
+    pub next_offset: logs::Offset,
     /// When its record was appended, in milliseconds since the Unix epoch.
     pub unix_millis: u64,
 }
@@ -97,13 +97,13 @@
     rules: R,
     /// Never replaced by an older version.
     current: Option<Accepted>,
-    memory: memory::Memory,
+    outcomes: outcomes::Outcomes,
     /// Offset of the record to judge next.
     next: logs::Offset,
     /// While set, the state is not known, and only a snapshot that covers all records before this
     /// offset can tell it.
     gap: Option<logs::Offset>,
-    anchor: Option<Anchor>,
+    replay_start: Option<ReplayStart>,
 }
 
 impl<R: rules::Rules> Fold<R> {
@@ -113,14 +113,14 @@
         Self {
             rules,
             current: None,
-            memory: memory::Memory::default(),
+            outcomes: outcomes::Outcomes::default(),
             next: offset,
             gap: (offset > 0).then_some(offset),
-            anchor: None,
+            replay_start: None,
         }
     }
 
-    /// The accepted configuration; while [`Fold::settled`] is false there may be a later one.
+    /// The accepted configuration; while [`Fold::state_known`] is false there may be a later one.
     pub const fn current(&self) -> Option<&Accepted> {
         self.current.as_ref()
     }
@@ -136,24 +136,24 @@
     }
 
     /// Whether the state after every record before [`Fold::next`] is known.
-    pub const fn settled(&self) -> bool {
+    pub const fn state_known(&self) -> bool {
         self.gap.is_none()
     }
 
     /// The latest place seen that a joiner can start from.
-    pub const fn anchor(&self) -> Option<Anchor> {
-        self.anchor
+    pub const fn replay_start(&self) -> Option<ReplayStart> {
+        self.replay_start
     }
 
     /// What became of the publish called `id`, while it is remembered.
-    pub fn outcome(&self, id: id::PublishId) -> Option<memory::Outcome> {
-        self.memory.get(id)
+    pub fn outcome(&self, id: id::PublishId) -> Option<outcomes::Outcome> {
+        self.outcomes.get(id)
     }
 
     /// Judges the records of `batch`, read from [`Fold::next`] on. Ends early after a snapshot
     /// that was adopted, because the next read starts elsewhere.
-    pub fn take(&mut self, batch: &logs::Batch) -> Vec<Judged<R::Faults>> {
-        self.expired(batch.first);
+    pub fn apply_batch(&mut self, batch: &logs::Batch) -> Vec<Judged<R::Faults>> {
+        self.skip_expired(batch.first);
         let mut judged = Vec::with_capacity(batch.records.len());
         for record in &batch.records {
             let verdict = self.apply(record.offset, record.unix_millis, &record.body);
@@ -167,7 +167,7 @@
     }
 
     /// Learns that records before `first` have expired.
-    pub fn expired(&mut self, first: logs::Offset) {
+    pub fn skip_expired(&mut self, first: logs::Offset) {
         if first > self.next {
             self.next = first;
             self.gap = Some(first);
@@ -184,14 +184,14 @@
         if offset < self.next {
             return Verdict::Stale;
         }
-        if self.anchor.is_none() && self.settled() {
-            self.anchor = Some(Anchor { through: self.next, unix_millis });
+        if self.replay_start.is_none() && self.state_known() {
+            self.replay_start = Some(ReplayStart { next_offset: self.next, unix_millis });
         }
         self.next = offset + 1;
         match record::decode(body, self.rules.newest()) {
             Ok(record::Record::Publish(publish)) => self.publish(publish),
             Ok(record::Record::Snapshot(snapshot)) => self.snapshot(offset, unix_millis, snapshot),
-            Ok(record::Record::Settled(settled)) => self.settle(settled),
+            Ok(record::Record::Accepted(accepted)) => self.accept_from_service(accepted),
             Err(record::Error::Format(format)) => {
                 self.gap = Some(self.next);
                 Verdict::Newer { format }
@@ -202,35 +202,35 @@
 
     /// The record of a snapshot of this state, if there is something to keep and it is known.
     pub fn encode(&self) -> Result<Option<Bytes>, record::Error> {
-        let Some(accepted) = self.current.as_ref().filter(|_| self.settled()) else {
+        let Some(accepted) = self.current.as_ref().filter(|_| self.state_known()) else {
             return Ok(None);
         };
         let snapshot = record::Snapshot {
             format: accepted.format,
             version_id: accepted.version_id,
-            through: self.next,
-            memory: self.memory.clone(),
+            next_offset: self.next,
+            outcomes: self.outcomes.clone(),
             body: accepted.body.clone(),
         };
         record::encode(&record::Record::Snapshot(snapshot)).map(Some)
     }
 
     fn publish(&mut self, publish: record::Publish) -> Verdict<R::Faults> {
-        if !self.settled() {
+        if !self.state_known() {
             return Verdict::Unjudged;
         }
-        if let Some(first) = self.memory.get(publish.id) {
+        if let Some(first) = self.outcomes.get(publish.id) {
             return Verdict::Repeated { first };
         }
         let current = self.version();
         if publish.base != current {
-            self.memory.put(publish.id, memory::Outcome::Conflict { current });
+            self.outcomes.put(publish.id, outcomes::Outcome::Conflict { current });
             return Verdict::Conflict { current };
         }
         match self.rules.check(publish.format, &publish.body) {
             Ok(mesh) => self.accept(publish, mesh),
             Err(faults) => {
-                self.memory.put(publish.id, memory::Outcome::Invalid);
+                self.outcomes.put(publish.id, outcomes::Outcome::Invalid);
                 Verdict::Invalid { faults }
             }
         }
@@ -239,7 +239,7 @@
     fn accept(&mut self, publish: record::Publish, mesh: mesh::Mesh) -> Verdict<R::Faults> {
         let version = version::Version::new(self.next);
         let stamp = version::VersionId { version, digest: version::Digest::of(&publish.body) };
-        self.memory.put(publish.id, memory::Outcome::Accepted(stamp));
+        self.outcomes.put(publish.id, outcomes::Outcome::Accepted(stamp));
         self.current = Some(Accepted {
             version_id: stamp,
             format: publish.format,
@@ -250,18 +250,22 @@
     }
 
     /// Takes a file that the log service accepted; it needs none of the records before it.
-    fn settle(&mut self, settled: record::Settled) -> Verdict<R::Faults> {
-        let digest = version::Digest::of(&settled.body);
-        let stamp = version::VersionId { version: settled.version, digest };
-        let mesh = match self.rules.check(settled.format, &settled.body) {
+    fn accept_from_service(&mut self, accepted: record::Accepted) -> Verdict<R::Faults> {
+        let digest = version::Digest::of(&accepted.body);
+        let stamp = version::VersionId { version: accepted.version, digest };
+        let mesh = match self.rules.check(accepted.format, &accepted.body) {
             Ok(mesh) => Arc::new(mesh),
             Err(faults) => return Verdict::Invalid { faults },
         };
         self.gap = None;
         // The log service keeps what it accepted: no snapshot is needed for those who come later.
-        self.anchor = None;
-        self.current =
-            Some(Accepted { version_id: stamp, format: settled.format, body: settled.body, mesh });
+        self.replay_start = None;
+        self.current = Some(Accepted {
+            version_id: stamp,
+            format: accepted.format,
+            body: accepted.body,
+            mesh,
+        });
         Verdict::Accepted(stamp)
     }
 
@@ -272,26 +276,26 @@
         snapshot: record::Snapshot,
     ) -> Verdict<R::Faults> {
         let stamp = snapshot.version_id;
-        if self.gap.is_some_and(|from| snapshot.through < from) {
+        if self.gap.is_some_and(|from| snapshot.next_offset < from) {
             return Verdict::Unjudged;
         }
         if !snapshot.consistent(offset) || self.contradicts(&snapshot) {
             return Verdict::Disputed(stamp);
         }
-        let anchor = Anchor { through: snapshot.through, unix_millis };
-        if !self.settled() {
-            return self.adopt(snapshot, anchor);
+        let replay_start = ReplayStart { next_offset: snapshot.next_offset, unix_millis };
+        if !self.state_known() {
+            return self.adopt(snapshot, replay_start);
         }
-        self.anchor_at(anchor, stamp);
+        self.advance_replay_start(replay_start, stamp);
         Verdict::Known(stamp)
     }
 
-    /// Moves the anchor forward to `anchor`, a snapshot of `stamp`. One that a publish has overtaken
+    /// Moves the replay_start forward to `replay_start`, a snapshot of `stamp`. One that a publish has overtaken
     /// is left out, since its stamp can't be compared any more.
-    fn anchor_at(&mut self, anchor: Anchor, stamp: version::VersionId) {
-        let later = self.anchor.is_none_or(|a| a.through <= anchor.through);
+    fn advance_replay_start(&mut self, replay_start: ReplayStart, stamp: version::VersionId) {
+        let later = self.replay_start.is_none_or(|a| a.next_offset <= replay_start.next_offset);
         if later && self.current.as_ref().is_some_and(|c| c.version_id == stamp) {
-            self.anchor = Some(anchor);
+            self.replay_start = Some(replay_start);
         }
     }
 
@@ -302,14 +306,18 @@
             return false;
         };
         let ours = current.version_id;
-        if self.settled() {
-            return ours.version.number() <= snapshot.through && snapshot.version_id != ours;
+        if self.state_known() {
+            return ours.version.number() <= snapshot.next_offset && snapshot.version_id != ours;
         }
         let older = snapshot.version_id.version < ours.version;
         older || snapshot.version_id.version == ours.version && snapshot.version_id != ours
     }
 
-    fn adopt(&mut self, snapshot: record::Snapshot, anchor: Anchor) -> Verdict<R::Faults> {
+    fn adopt(
+        &mut self,
+        snapshot: record::Snapshot,
+        replay_start: ReplayStart,
+    ) -> Verdict<R::Faults> {
         let stamp = snapshot.version_id;
         let Ok(mesh) = self.rules.check(snapshot.format, &snapshot.body) else {
             return Verdict::Disputed(stamp);
@@ -321,10 +329,10 @@
             body: snapshot.body,
             mesh,
         });
-        self.memory = snapshot.memory;
-        self.next = snapshot.through;
+        self.outcomes = snapshot.outcomes;
+        self.next = snapshot.next_offset;
         self.gap = None;
-        self.anchor = Some(anchor);
+        self.replay_start = Some(replay_start);
         Verdict::Adopted(stamp)
     }
 }
--- a/src/fold/memory.rs
+++ b/src/fold/outcomes.rs
@@ -1,4 +1,4 @@
-//! Memory of what became of recent publishes.
+//! Outcomes of what became of recent publishes.
 
 use std::collections;
 
@@ -9,7 +9,7 @@
 
 /// Publishes remembered. An older one that is repeated is judged again, which does no harm: what
 /// was accepted has moved the version past its base, so it is a conflict now.
-pub const LIMIT: usize = 512;
+pub const MAX_OUTCOMES: usize = 512;
 
 /// What became of a publish.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -27,13 +27,13 @@
 
 /// The last publishes with their outcomes.
 ///
-/// Invariant: at most [`LIMIT`] entries, in the order of the log, without duplicate ids.
+/// Invariant: at most [`MAX_OUTCOMES`] entries, in the order of the log, without duplicate ids.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Memory {
+pub struct Outcomes {
     entries: collections::VecDeque<(id::PublishId, Outcome)>,
 }
 
-impl Memory {
+impl Outcomes {
     /// What became of the publish called `id`.
     pub fn get(&self, id: id::PublishId) -> Option<Outcome> {
         self.entries.iter().find(|(other, _)| *other == id).map(|(_, outcome)| *outcome)
@@ -42,7 +42,7 @@
     /// Remembers `outcome` and forgets the oldest one when there are too many.
     pub fn put(&mut self, id: id::PublishId, outcome: Outcome) {
         self.entries.push_back((id, outcome));
-        if self.entries.len() > LIMIT {
+        if self.entries.len() > MAX_OUTCOMES {
             self.entries.pop_front();
         }
     }
--- a/src/fold/reader.rs
+++ b/src/fold/reader.rs
@@ -5,7 +5,7 @@
 use crate::logs;
 
 /// Records before the end at which the first search for a snapshot starts.
-const SPAN: u64 = 2 * snapshot::EVERY;
+const SPAN: u64 = 2 * snapshot::INTERVAL_RECORDS;
 
 /// Factor by which the search widens when it finds none.
 const WIDEN: u64 = 8;
@@ -57,7 +57,7 @@
 
     /// Whether everything up to the end, as last seen, has been judged.
     pub fn caught_up(&self) -> bool {
-        self.fold.settled() && self.at_end()
+        self.fold.state_known() && self.at_end()
     }
 
     /// Whether everything up to the end, as last seen, has been read.
@@ -66,19 +66,19 @@
     }
 
     /// Whether nothing the log keeps tells the state; a later snapshot may.
-    pub fn stranded(&self) -> bool {
-        !self.fold.settled() && self.at_end() && !self.searching()
+    pub fn needs_snapshot(&self) -> bool {
+        !self.fold.state_known() && self.at_end() && !self.searching()
     }
 
     /// Whether the first state is still looked for and older records may tell it.
     pub fn searching(&self) -> bool {
         let older = self.bounds.is_some_and(|b| self.start > b.first);
-        older && self.fold.current().is_none() && !self.fold.settled()
+        older && self.fold.current().is_none() && !self.fold.state_known()
     }
 
     /// Judges what a read from [`Reader::from`] gave. Offsets of another epoch name other records: the
     /// reader then begins anew.
-    pub fn take(&mut self, batch: &logs::Batch) -> Vec<fold::Judged<R::Faults>> {
+    pub fn apply_batch(&mut self, batch: &logs::Batch) -> Vec<fold::Judged<R::Faults>> {
         let first = self.bounds.is_none();
         if !first && batch.epoch != self.epoch {
             *self = Self::new(self.rules.clone());
@@ -97,7 +97,7 @@
             self.start = batch.first;
             self.fold = fold::Fold::starting_at(self.rules.clone(), self.start);
         }
-        let judged = self.fold.take(batch);
+        let judged = self.fold.apply_batch(batch);
         if self.searching() && self.at_end() {
             self.span = self.span.saturating_mul(WIDEN);
             self.restart(bounds);
@@ -110,7 +110,7 @@
         let worth = self.fold.current().is_some() && self.caught_up();
         let bounds = self.bounds.unwrap_or_default();
         snapshot::State {
-            anchor: self.fold.anchor().filter(|_| worth),
+            replay_start: self.fold.replay_start().filter(|_| worth),
             first: bounds.first,
             next: bounds.next,
             rank,
--- a/src/fold/record.rs
+++ b/src/fold/record.rs
@@ -11,7 +11,7 @@
 
 use crate::delta::{self, frame};
 use crate::fold::id;
-use crate::fold::memory;
+use crate::fold::outcomes;
 use crate::logs;
 use crate::version;
 
@@ -39,7 +39,7 @@
 /// It is the version that the service has given it whatever came before it, so that a reader that missed
 /// records needs no other one.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Settled {
+pub struct Accepted {
     /// Its version.
     pub version: version::Version,
     /// Format of the file.
@@ -48,7 +48,7 @@
     pub body: Bytes,
 }
 
-/// The state after the records before `through`.
+/// The state after the records before `next_offset`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Snapshot {
     /// Format of the file.
@@ -56,9 +56,9 @@
     /// The current version.
     pub version_id: version::VersionId,
     /// Offset of the first record that is not part of the state.
-    pub through: logs::Offset,
+    pub next_offset: logs::Offset,
     /// Recent publishes.
-    pub memory: memory::Memory,
+    pub outcomes: outcomes::Outcomes,
     /// The current version's file.
     pub body: Bytes,
 }
@@ -71,7 +71,7 @@
     /// State kept for those who can't read the records it came from.
     Snapshot(Snapshot),
     /// An accepted file.
-    Settled(Settled),
+    Accepted(Accepted),
 }
 
 /// Why bytes are not a record that this build can judge, or a record can't be encoded.
@@ -101,11 +101,11 @@
     },
     Snapshot {
         version_id: version::VersionId,
-        through: logs::Offset,
-        memory: memory::Memory,
+        next_offset: logs::Offset,
+        outcomes: outcomes::Outcomes,
         frame: Bytes,
     },
-    Settled {
+    Accepted {
         version: version::Version,
         frame: Bytes,
     },
@@ -122,14 +122,14 @@
             (p.format, Content::Publish { base: p.base, id: p.id, frame })
         }
         Record::Snapshot(s) => {
-            let (memory, frame) = (s.memory.clone(), frame::compress(&s.body)?);
-            let (stamp, through) = (s.version_id, s.through);
-            (s.format, Content::Snapshot { version_id: stamp, through, memory, frame })
+            let (outcomes, frame) = (s.outcomes.clone(), frame::compress(&s.body)?);
+            let (stamp, next_offset) = (s.version_id, s.next_offset);
+            (s.format, Content::Snapshot { version_id: stamp, next_offset, outcomes, frame })
         }
         // Made of what the log service holds by the node that reads it, and never sent.
-        Record::Settled(s) => {
+        Record::Accepted(s) => {
             let frame = frame::compress_passing(&s.body)?;
-            (s.format, Content::Settled { version: s.version, frame })
+            (s.format, Content::Accepted { version: s.version, frame })
         }
     };
     let mut out = Vec::from(MARK);
@@ -153,12 +153,12 @@
         Content::Publish { base, id, frame } => {
             Record::Publish(Publish { format, base, id, body: frame::decompress(&frame)? })
         }
-        Content::Snapshot { version_id, through, memory, frame } => {
+        Content::Snapshot { version_id, next_offset, outcomes, frame } => {
             let body = frame::decompress(&frame)?;
-            Record::Snapshot(Snapshot { format, version_id, through, memory, body })
+            Record::Snapshot(Snapshot { format, version_id, next_offset, outcomes, body })
         }
-        Content::Settled { version, frame } => {
-            Record::Settled(Settled { version, format, body: frame::decompress(&frame)? })
+        Content::Accepted { version, frame } => {
+            Record::Accepted(Accepted { version, format, body: frame::decompress(&frame)? })
         }
     })
 }
@@ -168,7 +168,7 @@
         match self {
             Record::Publish(publish) => &publish.body,
             Record::Snapshot(snapshot) => &snapshot.body,
-            Record::Settled(settled) => &settled.body,
+            Record::Accepted(settled) => &settled.body,
         }
     }
 }
@@ -177,8 +177,8 @@
     /// Whether the snapshot, found at `offset`, can be true: it covers no record after itself, its
     /// version is one that it covers, and its file is the version's.
     pub fn consistent(&self, offset: logs::Offset) -> bool {
-        self.through <= offset
-            && self.version_id.version.number() <= self.through
+        self.next_offset <= offset
+            && self.version_id.version.number() <= self.next_offset
             && self.version_id.version > version::Version::NONE
             && self.version_id.digest == version::Digest::of(&self.body)
     }
--- a/src/fold/rules.rs
+++ b/src/fold/rules.rs
@@ -19,16 +19,16 @@
 pub struct Builtin;
 
 /// The newest format this build knows.
-pub const NEWEST: u16 = 4;
+pub const NEWEST_FORMAT: u16 = 4;
 
 /// The newest format without orders of roll-outs.
-pub const PLAIN: u16 = 3;
+pub const LAST_FORMAT_WITHOUT_ORDERS: u16 = 3;
 
 impl Rules for Builtin {
     type Faults = mesh::fault::Faults;
 
     fn newest(&self) -> u16 {
-        NEWEST
+        NEWEST_FORMAT
     }
 
     fn check(&self, _format: u16, file: &[u8]) -> Result<mesh::Mesh, Self::Faults> {
--- a/src/fold/snapshot.rs
+++ b/src/fold/snapshot.rs
@@ -15,8 +15,8 @@
 use crate::fold;
 use crate::logs;
 
-/// Records after the anchor at which a snapshot is due, so that a joiner reads few of them.
-pub const EVERY: u64 = 256;
+/// Records after the replay_start at which a snapshot is due, so that a joiner reads few of them.
+pub const INTERVAL_RECORDS: u64 = 256;
 
 /// Time between the turns of two ranks, enough for a snapshot to be appended and read.
 const TURN: time::Duration = time::Duration::from_secs(2);
@@ -24,14 +24,14 @@
 /// Time until the next try when a snapshot that should be there is not.
 const RETRY: time::Duration = time::Duration::from_secs(30);
 
-/// Share of the retained records, counted from the oldest, in which the anchor is due: 1 of 4.
+/// Share of the retained records, counted from the oldest, in which the replay_start is due: 1 of 4.
 const OLD_SHARE: u64 = 4;
 
 /// What the decision depends on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct State {
     /// Where a joiner can start; `None` while there is nothing to keep or it is not known.
-    pub anchor: Option<fold::Anchor>,
+    pub replay_start: Option<fold::ReplayStart>,
     /// Oldest offset kept by the log.
     pub first: logs::Offset,
     /// Offset of the next append.
@@ -79,15 +79,16 @@
         Some(Write)
     }
 
-    /// Whether the anchor is old, by time, by place among the kept records, or by distance.
+    /// Whether the replay_start is old, by time, by place among the kept records, or by distance.
     fn due(&self, state: &State) -> bool {
-        let Some(anchor) = state.anchor else {
+        let Some(replay_start) = state.replay_start else {
             return false;
         };
-        let age = time::Duration::from_millis(state.unix_millis.saturating_sub(anchor.unix_millis));
+        let age =
+            time::Duration::from_millis(state.unix_millis.saturating_sub(replay_start.unix_millis));
         let old = (state.next.saturating_sub(state.first)) / OLD_SHARE;
-        let expiring = state.first > 0 && anchor.through < state.first + old;
-        let distant = state.next.saturating_sub(anchor.through) >= EVERY;
+        let expiring = state.first > 0 && replay_start.next_offset < state.first + old;
+        let distant = state.next.saturating_sub(replay_start.next_offset) >= INTERVAL_RECORDS;
         age >= self.retention / 2 || expiring || distant
     }
 
--- a/src/fold/submit.rs
+++ b/src/fold/submit.rs
@@ -7,7 +7,7 @@
 use rand::rngs::SmallRng;
 use tokio::time::Instant;
 
-use crate::fold::{follow, id, memory, record, rules};
+use crate::fold::{follow, id, outcomes, record, rules};
 use crate::logs::{self, Failure as _};
 use crate::version;
 
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Answer {
     /// The verdict.
-    pub outcome: memory::Outcome,
+    pub outcome: outcomes::Outcome,
     /// Whether it had been reached before this call.
     pub repeated: bool,
 }
@@ -82,13 +82,13 @@
         let id = publish.id;
         let base = publish.base;
         let body = record::encode(&record::Record::Publish(publish))?;
-        let mut through = 0;
+        let mut next_offset = 0;
         loop {
-            self.catch_up(through).await?;
+            self.catch_up(next_offset).await?;
             if let Some(answer) = self.answer(id, base) {
                 return Ok(answer);
             }
-            through = self.append(body.clone()).await?.unwrap_or(through);
+            next_offset = self.append(body.clone()).await?.unwrap_or(next_offset);
         }
     }
 
@@ -99,7 +99,7 @@
             return Some(Answer { outcome, repeated });
         }
         let current = self.follower.fold().version();
-        let outcome = memory::Outcome::Conflict { current };
+        let outcome = outcomes::Outcome::Conflict { current };
         (base != current).then_some(Answer { outcome, repeated: false })
     }
 
@@ -122,15 +122,15 @@
         }
     }
 
-    /// Reads to the end of the log, and at least up to `through`.
-    async fn catch_up(&mut self, through: logs::Offset) -> Result<(), Error<S::Error>> {
+    /// Reads to the end of the log, and at least up to `next_offset`.
+    async fn catch_up(&mut self, next_offset: logs::Offset) -> Result<(), Error<S::Error>> {
         let mut wait = time::Duration::ZERO;
         loop {
             if let Err(error) = self.follower.step(wait).await {
                 self.rest(error).await?;
                 continue;
             }
-            if self.follower.caught_up() && self.follower.fold().next() >= through {
+            if self.follower.caught_up() && self.follower.fold().next() >= next_offset {
                 return Ok(());
             }
             if Instant::now() >= self.end {
@@ -143,7 +143,7 @@
     /// Why the log did not tell the state in time, although it answers.
     fn late(&self) -> Error<S::Error> {
         let uncertain = self.sent;
-        if self.follower.stranded() {
+        if self.follower.needs_snapshot() {
             return Error::Unknown { uncertain };
         }
         Error::Unreachable { uncertain, source: None }
--- a/src/spread/confirm.rs
+++ b/src/spread/confirm.rs
@@ -37,12 +37,14 @@
 
 /// The version that `record` seems to put after `held`.
 fn successor(record: &logs::Record, held: version::Version) -> Option<version::Version> {
-    match record::decode(&record.body, rules::NEWEST).ok()? {
+    match record::decode(&record.body, rules::NEWEST_FORMAT).ok()? {
         record::Record::Publish(publish) => {
             let follows = publish.base == held && mesh::check::check(&publish.body).is_ok();
             follows.then(|| version::Version::new(record.offset + 1))
         }
-        record::Record::Settled(settled) => Some(settled.version).filter(|&version| version > held),
+        record::Record::Accepted(settled) => {
+            Some(settled.version).filter(|&version| version > held)
+        }
         record::Record::Snapshot(snapshot) => {
             Some(snapshot.version_id.version).filter(|&version| version > held)
         }
@@ -51,9 +53,9 @@
 
 /// Whether `record` says that nothing newer than `held` came before it.
 fn keeps(record: &logs::Record, held: version::Version) -> bool {
-    match record::decode(&record.body, rules::NEWEST) {
+    match record::decode(&record.body, rules::NEWEST_FORMAT) {
         Ok(record::Record::Snapshot(snapshot)) => snapshot.version_id.version == held,
-        Ok(record::Record::Settled(settled)) => settled.version <= held,
+        Ok(record::Record::Accepted(settled)) => settled.version <= held,
         _ => false,
     }
 }
--- a/src/spread/reading.rs
+++ b/src/spread/reading.rs
@@ -90,7 +90,7 @@
         if self.reader.bounds().is_some() && batch.first > self.reader.from() {
             self.reader = reader::Reader::new(rules::Builtin);
         }
-        let judged = self.reader.take(batch);
+        let judged = self.reader.apply_batch(batch);
         report(&judged);
         let gave = match (self.reader.at_end(), judged.is_empty()) {
             (false, _) => tail::Yield::Behind,
@@ -102,7 +102,7 @@
         self.accept(now);
         if self.reader.caught_up() {
             self.settle(start::Event::Confirmed, now);
-        } else if self.reader.stranded() {
+        } else if self.reader.needs_snapshot() {
             self.settle(start::Event::Failed, now);
         }
         self.keep(unix_millis, now);
--- a/src/spread/tests/parts.rs
+++ b/src/spread/tests/parts.rs
@@ -257,8 +257,8 @@
 
 fn settled(offset: u64) -> logs::Record {
     let version = version::Version::assigned(offset + 1, logs::ordinal(0, offset));
-    let settled = record::Settled { version, format: 1, body: fleet::file(offset).into() };
-    let body = record::encode(&record::Record::Settled(settled)).expect("encodes");
+    let settled = record::Accepted { version, format: 1, body: fleet::file(offset).into() };
+    let body = record::encode(&record::Record::Accepted(settled)).expect("encodes");
     logs::Record { offset, unix_millis: 0, body }
 }
 
--- a/src/spread/tests/source.rs
+++ b/src/spread/tests/source.rs
@@ -66,8 +66,8 @@
         self.settles = true;
         let version = version::Version::assigned(number, logs::ordinal(self.epoch, self.next()));
         let body = Bytes::copy_from_slice(file);
-        let settled = record::Settled { version, format: 1, body };
-        let record = record::encode(&record::Record::Settled(settled)).expect("encodes");
+        let settled = record::Accepted { version, format: 1, body };
+        let record = record::encode(&record::Record::Accepted(settled)).expect("encodes");
         self.put(record, unix_millis);
     }
 
@@ -78,8 +78,8 @@
         self.fold = fold::Fold::starting_at(rules::Builtin, self.first);
         let kept = records.len().saturating_sub(lost);
         for record in records.into_iter().take(kept) {
-            let decoded = record::decode(&record.body, rules::NEWEST).expect("decodes");
-            let record::Record::Settled(settled) = decoded else { panic!("not settled") };
+            let decoded = record::decode(&record.body, rules::NEWEST_FORMAT).expect("decodes");
+            let record::Record::Accepted(settled) = decoded else { panic!("not settled") };
             self.settle(settled.version.number(), &settled.body, record.unix_millis);
         }
     }
--- a/src/standin/small.rs
+++ b/src/standin/small.rs
@@ -12,7 +12,7 @@
 use crate::configs;
 use crate::context;
 use crate::fold::id;
-use crate::fold::memory;
+use crate::fold::outcomes;
 use crate::fold::record;
 use crate::fold::rules;
 use crate::fold::submit;
@@ -60,7 +60,7 @@
     Publish(#[from] submit::Error<logs::http::Error>),
     /// The log holds something else already.
     #[error("the configuration was refused: {0:?}")]
-    Refused(memory::Outcome),
+    Refused(outcomes::Outcome),
     /// A node can't be started or failed.
     #[error("node {0} failed")]
     Node(host::HostId, #[source] duty::Error),
@@ -192,11 +192,11 @@
     let seed = context::Context::system().seed_for("publish");
     let base = version::Version::NONE;
     let id = id::PublishId::derive(base, &body);
-    let publish = record::Publish { format: rules::NEWEST, base, id, body };
+    let publish = record::Publish { format: rules::NEWEST_FORMAT, base, id, body };
     let submitter = submit::Submitter::new(client, rules::Builtin, PUBLISH, seed);
     let answer = submitter.submit(publish).await?;
     match answer.outcome {
-        memory::Outcome::Accepted(stamp) => Ok(stamp.version),
+        outcomes::Outcome::Accepted(stamp) => Ok(stamp.version),
         other => Err(Error::Refused(other)),
     }
 }
--- a/tests/fold/follow.rs
+++ b/tests/fold/follow.rs
@@ -95,7 +95,7 @@
 /// Reads until the end; at most as many times as a search may take.
 async fn read(follower: &mut follow::Follower<Log, Toy>) {
     for _ in 0..200 {
-        if follower.caught_up() || follower.stranded() {
+        if follower.caught_up() || follower.needs_snapshot() {
             return;
         }
         follower.step(Duration::ZERO).await.unwrap();
@@ -106,11 +106,11 @@
 #[tokio::test]
 async fn a_joiner_reads_few_records_of_a_long_log() {
     let (log, mut writer) = (Log::default(), writer());
-    log.fill(&mut writer, 3000, snapshot::EVERY);
+    log.fill(&mut writer, 3000, snapshot::INTERVAL_RECORDS);
     let mut follower = follow::Follower::new(log.clone(), Toy(NEWEST));
     read(&mut follower).await;
     assert_eq!(follower.fold().version(), writer.version());
-    assert!(log.given() as u64 <= 3 * snapshot::EVERY, "read {} records", log.given());
+    assert!(log.given() as u64 <= 3 * snapshot::INTERVAL_RECORDS, "read {} records", log.given());
 }
 
 #[tokio::test]
@@ -130,7 +130,7 @@
     log.keep(5);
     let mut follower = follow::Follower::new(log.clone(), Toy(NEWEST));
     read(&mut follower).await;
-    assert!(follower.stranded());
+    assert!(follower.needs_snapshot());
     follower.step(Duration::from_secs(9)).await.unwrap();
     assert_eq!(log.0.lock().unwrap().wait, Duration::from_secs(9));
     log.snapshot(&mut writer);
@@ -141,14 +141,14 @@
 #[tokio::test]
 async fn an_older_build_waits_at_a_newer_record_until_a_snapshot_it_knows() {
     let (log, mut writer) = (Log::default(), writer());
-    log.fill(&mut writer, 700, snapshot::EVERY);
+    log.fill(&mut writer, 700, snapshot::INTERVAL_RECORDS);
     let mut follower = follow::Follower::new(log.clone(), Toy(OLDER));
     read(&mut follower).await;
     let newer = history::publish(NEWEST, writer.version(), [9; 16], b"newer");
     writer.apply(writer.next(), 0, &newer);
     log.add(newer);
     follower.step(Duration::ZERO).await.unwrap();
-    assert!(follower.stranded());
+    assert!(follower.needs_snapshot());
     assert_eq!(follower.fold().version(), Version::new(702));
     follower.step(Duration::from_secs(9)).await.unwrap();
     assert_eq!(log.0.lock().unwrap().wait, Duration::from_secs(9));
--- a/tests/fold/history.rs
+++ b/tests/fold/history.rs
@@ -69,7 +69,7 @@
     pub fn covered(&self, first: u64) -> bool {
         self.records.iter().skip(first as usize).any(|r| {
             let decoded = record::decode(&r.body, NEWEST);
-            matches!(decoded, Ok(record::Record::Snapshot(s)) if s.through >= first)
+            matches!(decoded, Ok(record::Record::Snapshot(s)) if s.next_offset >= first)
         })
     }
 }
--- a/tests/fold/settled.rs
+++ b/tests/fold/settled.rs
@@ -8,15 +8,15 @@
 fn settled(offset: u64, body: &[u8]) -> logs::Record {
     let body = Bytes::copy_from_slice(body);
     let version = version::Version::assigned(offset + 1, logs::ordinal(0, offset));
-    let settled = record::Settled { version, format: rules::NEWEST, body };
-    let record = record::Record::Settled(settled);
+    let settled = record::Accepted { version, format: rules::NEWEST_FORMAT, body };
+    let record = record::Record::Accepted(settled);
     let body = record::encode(&record).expect("encoded");
     logs::Record { offset, unix_millis: 0, body }
 }
 
 fn read(reader: &mut reader::Reader<rules::Builtin>, first: u64, records: Vec<logs::Record>) {
     let next = records.last().map_or(first, |r| r.offset + 1);
-    reader.take(&logs::Batch { epoch: 0, first, next, records });
+    reader.apply_batch(&logs::Batch { epoch: 0, first, next, records });
 }
 
 fn version(reader: &reader::Reader<rules::Builtin>) -> u64 {
--- a/tests/fold/snapshot.rs
+++ b/tests/fold/snapshot.rs
@@ -5,7 +5,7 @@
 use crate::history::{self, NEWEST, Toy};
 use bytes::Bytes;
 use dandelionspool::clock;
-use dandelionspool::fold::{self, Verdict, memory, snapshot};
+use dandelionspool::fold::{self, Verdict, outcomes, snapshot};
 use dandelionspool::logs;
 use dandelionspool::version::Version;
 use rand::rngs::SmallRng;
@@ -62,15 +62,15 @@
     }
 
     fn read(&mut self, log: &Log) {
-        while !self.fold.take(&log.read(self.fold.next())).is_empty() {}
+        while !self.fold.apply_batch(&log.read(self.fold.next())).is_empty() {}
     }
 
     fn turn(&mut self, now_s: u64, log: &mut Log) -> bool {
         let state = snapshot::State {
-            anchor: self
+            replay_start: self
                 .fold
-                .anchor()
-                .filter(|_| self.fold.settled() && self.fold.current().is_some()),
+                .replay_start()
+                .filter(|_| self.fold.state_known() && self.fold.current().is_some()),
             first: log.first,
             next: log.records.len() as u64,
             rank: self.rank,
@@ -127,7 +127,7 @@
     run.nodes.iter_mut().for_each(|n| n.read(&run.log));
     let place = rng.random_range(0..run.nodes.len());
     let joiner = Node::join(&run.log, run.nodes[place].rank, rng.random());
-    assert!(joiner.fold.settled(), "a joiner after {now_s} s does not know the version");
+    assert!(joiner.fold.state_known(), "a joiner after {now_s} s does not know the version");
     assert_eq!(joiner.fold.encode().unwrap(), run.nodes[place].fold.encode().unwrap());
     run.nodes[place] = joiner;
 }
@@ -146,7 +146,7 @@
     const DAYS: u64 = 6;
     let run = run(seed, DAYS, per_day, outage_h);
     assert!(run.log.first > 0, "nothing expired");
-    let expected = 2 * DAYS + run.publishes / snapshot::EVERY;
+    let expected = 2 * DAYS + run.publishes / snapshot::INTERVAL_RECORDS;
     assert!(run.snapshots >= DAYS, "{} snapshots", run.snapshots);
     assert!(run.snapshots <= 2 * expected, "{} snapshots, {expected} expected", run.snapshots);
 }
@@ -158,7 +158,7 @@
     assert!(run.log.first > 0 && node.fold.version() > Version::new(100));
     let again = history::publish(1, Version::NONE, [1; 16], b"first");
     let verdict = node.fold.apply(node.fold.next(), 0, &again);
-    let Verdict::Repeated { first: memory::Outcome::Accepted(stamp) } = verdict else {
+    let Verdict::Repeated { first: outcomes::Outcome::Accepted(stamp) } = verdict else {
         panic!("{verdict:?}");
     };
     assert_eq!(stamp.version, Version::new(1));
@@ -173,7 +173,7 @@
     log.expire(late_s);
     assert_eq!(log.first, 1);
     let mut joiner = Node::join(&log, 1, 2);
-    assert!(!joiner.fold.settled());
+    assert!(!joiner.fold.state_known());
     let written = (0..4).filter(|n| node.turn(late_s + n * STEP_S, &mut log)).count();
     assert_eq!(written, 1);
     joiner.read(&log);
@@ -200,7 +200,7 @@
     let mut policy = snapshot::Policy::new(RETENTION, 1);
     for now_s in 0..1000 {
         let state = snapshot::State {
-            anchor: None,
+            replay_start: None,
             first: 500,
             next: 1000,
             rank: 0,
--- a/tests/fold/verdict.rs
+++ b/tests/fold/verdict.rs
@@ -16,7 +16,7 @@
     for _ in 0..MOST_READS {
         let batch = history.batch(first.max(fold.next()), first, most);
         let before = (fold.version(), fold.next());
-        let judged = fold.take(&batch);
+        let judged = fold.apply_batch(&batch);
         assert!(fold.version() >= before.0, "went back from {} to {}", before.0, fold.version());
         for judged in &judged {
             check(history, judged);
@@ -55,8 +55,8 @@
             let mut fold = fold::Fold::starting_at(Toy(NEWEST), first);
             replay(&history, &mut fold, first, most);
             prop_assert_eq!(fold.next(), history.end());
-            prop_assert_eq!(fold.settled(), first == 0 || history.covered(first), "from {}", first);
-            if fold.settled() {
+            prop_assert_eq!(fold.state_known(), first == 0 || history.covered(first), "from {}", first);
+            if fold.state_known() {
                 check_state(&history, &fold);
             }
         }
@@ -72,10 +72,10 @@
         let stop = (stop * end) as u64;
         let first = stop + (missed * (end - stop as f64)) as u64;
         let mut fold = fold::Fold::starting_at(Toy(NEWEST), 0);
-        fold.take(&history.batch(0, 0, stop as usize));
+        fold.apply_batch(&history.batch(0, 0, stop as usize));
         replay(&history, &mut fold, first, 5);
         let known = first <= stop || history.covered(first);
-        prop_assert_eq!(fold.settled(), known);
+        prop_assert_eq!(fold.state_known(), known);
         if known {
             check_state(&history, &fold);
         }
@@ -86,7 +86,7 @@
         let first = first.min(history.end());
         let mut fold = fold::Fold::starting_at(Toy(OLDER), first);
         replay(&history, &mut fold, first, 7);
-        if fold.settled() {
+        if fold.state_known() {
             check_state(&history, &fold);
         }
     }
@@ -149,7 +149,7 @@
         let version = fold.version();
         fold.apply(1, 0, &body);
         prop_assert_eq!(fold.version(), version);
-        prop_assert_eq!(fold.settled(), !(marked && format > NEWEST));
+        prop_assert_eq!(fold.state_known(), !(marked && format > NEWEST));
         let _ = wire::decode(0, 10, Bytes::from(bytes));
     }
 
@@ -201,7 +201,7 @@
     let history = log.finish();
     let mut joiner = fold::Fold::starting_at(Toy(NEWEST), 2);
     replay(&history, &mut joiner, 2, 10);
-    assert!(!joiner.settled(), "adopted {:?}", joiner.version());
+    assert!(!joiner.state_known(), "adopted {:?}", joiner.version());
     assert_eq!(joiner.version(), Version::NONE);
 }
 
@@ -213,8 +213,8 @@
     log.publish(1, Version::new(1), [2; 16], b"second");
     let mut reader = log.state().clone();
     let record::Record::Snapshot(mut false_one) = first else { panic!("not a snapshot") };
-    false_one.through = 4;
-    reader.expired(3);
+    false_one.next_offset = 4;
+    reader.skip_expired(3);
     let body = record::encode(&record::Record::Snapshot(false_one)).unwrap();
     assert!(matches!(reader.apply(5, 0, &body), Verdict::Disputed(_)));
     assert_eq!(reader.version(), Version::new(2));
@@ -224,7 +224,7 @@
 fn the_memory_of_publishes_is_bounded() {
     let mut fold = fold::Fold::starting_at(Toy(NEWEST), 0);
     let id = |n: u64| (u128::from(n) + 1).to_be_bytes();
-    let limit = fold::memory::LIMIT as u64;
+    let limit = fold::outcomes::MAX_OUTCOMES as u64;
     for n in 0..2 * limit {
         fold.apply(n, 0, &history::publish(1, fold.version(), id(n), b"file"));
     }
@@ -236,7 +236,7 @@
     let forgotten = fold.apply(next + 1, 0, &history::publish(1, base, id(limit - 1), b"file"));
     assert_eq!(forgotten, Verdict::Conflict { current: fold.version() });
     let snapshot = fold.encode().unwrap().unwrap();
-    assert!(snapshot.len() < 40 * fold::memory::LIMIT, "{} bytes", snapshot.len());
+    assert!(snapshot.len() < 40 * fold::outcomes::MAX_OUTCOMES, "{} bytes", snapshot.len());
 }
 
 #[test]
@@ -250,6 +250,6 @@
 #[test]
 fn an_empty_batch_moves_nothing() {
     let mut fold = fold::Fold::starting_at(Toy(NEWEST), 0);
-    assert!(fold.take(&logs::Batch::default()).is_empty());
-    assert!(fold.settled() && fold.next() == 0);
+    assert!(fold.apply_batch(&logs::Batch::default()).is_empty());
+    assert!(fold.state_known() && fold.next() == 0);
 }
--- a/tests/publish.rs
+++ b/tests/publish.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use dandelionspool::configs;
-use dandelionspool::fold::{follow, id, memory, record, rules, submit};
+use dandelionspool::fold::{follow, id, outcomes, record, rules, submit};
 use dandelionspool::logs::{self, Service as _, http};
 use dandelionspool::standin::log::{self, faults};
 use dandelionspool::version::Version;
@@ -74,7 +74,9 @@
     let server = serve().await;
     server.set_faults(faults::Faults { lose_next: 1, ..faults::Faults::default() });
     let answer = submit(&server, publish(0, 1)).await.unwrap();
-    assert!(matches!(answer.outcome, memory::Outcome::Accepted(s) if s.version == Version::new(1)));
+    assert!(
+        matches!(answer.outcome, outcomes::Outcome::Accepted(s) if s.version == Version::new(1))
+    );
     assert!(!answer.repeated);
     assert_eq!(records(&server).await.len(), 1);
 }
@@ -84,7 +86,7 @@
     let server = serve().await;
     let first = submit(&server, publish(0, 1)).await.unwrap();
     let second = submit(&server, publish(1, 2)).await.unwrap();
-    assert!(matches!(second.outcome, memory::Outcome::Accepted(_)));
+    assert!(matches!(second.outcome, outcomes::Outcome::Accepted(_)));
     let again = submit(&server, publish(0, 1)).await.unwrap();
     assert_eq!(again, submit::Answer { repeated: true, ..first });
     assert_eq!(records(&server).await.len(), 2);
@@ -116,10 +118,9 @@
         let (a, b, c) = tokio::join!(a, b, c);
         let current = accepted(&server).await;
         let outcomes = [a, b, c].map(|answer| answer.unwrap().outcome);
-        let won =
-            |o: &memory::Outcome| matches!(o, memory::Outcome::Accepted(s) if s.version == current);
+        let won = |o: &outcomes::Outcome| matches!(o, outcomes::Outcome::Accepted(s) if s.version == current);
         assert_eq!(outcomes.iter().filter(|o| won(o)).count(), 1, "{outcomes:?}");
-        let lost = memory::Outcome::Conflict { current };
+        let lost = outcomes::Outcome::Conflict { current };
         assert_eq!(outcomes.iter().filter(|o| **o == lost).count(), 2, "{outcomes:?}");
         base = current.number();
     }
