--- a/benches/call_path.rs
+++ b/benches/call_path.rs
@@ -118,7 +118,11 @@
     };
     Duty::spawn(name, move || async move {
         let local = local.map(|address| {
-            Arc::new(node::Local { address, instance: Default::default(), upstream: shop() })
+            Arc::new(node::LocalUpstream {
+                address,
+                instance: Default::default(),
+                upstream: shop(),
+            })
         });
         let wiring = wiring::Wiring {
             applied: watch::channel(Arc::new(mesh::Applied { version_id: stamp, mesh })).1,
--- a/src/admin/announce.rs
+++ b/src/admin/announce.rs
@@ -290,7 +290,7 @@
 
     /// The upstream as `mesh` allows it: within the limits of its class, and only if the mesh has
     /// its service and class.
-    pub fn local(&self, mesh: &mesh::Mesh) -> Option<node::Local> {
+    pub fn local(&self, mesh: &mesh::Mesh) -> Option<node::LocalUpstream> {
         let Held { instance, announcement, life, .. } = self.held.as_ref()?;
         let class = class(announcement, mesh).ok()?;
         let upstream = view::Upstream {
@@ -303,7 +303,11 @@
             version: announcement.version.clone(),
             trial: rollout::TrialReport::default(),
         };
-        Some(node::Local { address: announcement.address, instance: instance.clone(), upstream })
+        Some(node::LocalUpstream {
+            address: announcement.address,
+            instance: instance.clone(),
+            upstream,
+        })
     }
 }
 
--- a/src/admin/shell.rs
+++ b/src/admin/shell.rs
@@ -14,7 +14,7 @@
 use crate::clock::Clock as _;
 use crate::configs;
 use crate::context;
-use crate::logs::reach;
+use crate::logs::reachability;
 use crate::mesh;
 use crate::node;
 use crate::ring;
@@ -39,9 +39,9 @@
     /// From the call path: what was seen of that upstream while its version is tried.
     pub trial: watch::Receiver<rollout::TrialReport>,
     /// Where the upstream beside this node is put; `None` while there is none.
-    pub local: watch::Sender<Option<Arc<node::Local>>>,
-    /// Whether the log answers, see [`reach::Watched`].
-    pub reach: watch::Receiver<reach::Reach>,
+    pub local: watch::Sender<Option<Arc<node::LocalUpstream>>>,
+    /// Whether the log answers, see [`reachability::Watched`].
+    pub reach: watch::Receiver<reachability::Reachability>,
     /// From the call path: what was counted. Full: the counts stay there and come with the next.
     pub tallies: ring::Receiver<usage::Delta>,
     /// To the ledger: the same counts. Full: this duty waits, and the counts stay in the call path.
--- a/src/admin/state.rs
+++ b/src/admin/state.rs
@@ -14,7 +14,7 @@
 use crate::configs;
 use crate::context;
 use crate::host;
-use crate::logs::reach;
+use crate::logs::reachability;
 use crate::mesh;
 use crate::node;
 use crate::rollout;
@@ -34,8 +34,8 @@
     pub(super) applied: watch::Receiver<Arc<mesh::Applied>>,
     pub(super) view: watch::Receiver<Arc<view::View>>,
     pub(super) trial: watch::Receiver<rollout::TrialReport>,
-    pub(super) local: watch::Sender<Option<Arc<node::Local>>>,
-    pub(super) reach: watch::Receiver<reach::Reach>,
+    pub(super) local: watch::Sender<Option<Arc<node::LocalUpstream>>>,
+    pub(super) reach: watch::Receiver<reachability::Reachability>,
     pub(super) metrics: metrics::Metrics,
     pub(super) stage: watch::Receiver<node::Stage>,
     pub(super) traffic: Arc<traffic::Traffic>,
@@ -181,7 +181,7 @@
 }
 
 /// Whether both are the same but for what was seen of their answers.
-fn is_like(old: Option<&node::Local>, new: Option<&node::Local>) -> bool {
+fn is_like(old: Option<&node::LocalUpstream>, new: Option<&node::LocalUpstream>) -> bool {
     let (Some(old), Some(new)) = (old, new) else { return old.is_none() && new.is_none() };
     let mut seen = new.clone();
     seen.upstream.trial = old.upstream.trial;
@@ -189,7 +189,7 @@
 }
 
 /// Logs what the node believes of its upstream from now on.
-fn tell(local: Option<&node::Local>) {
+fn tell(local: Option<&node::LocalUpstream>) {
     let Some(local) = local else { return log::info!("no upstream is beside this node") };
     let upstream = &local.upstream;
     log::info!(
--- a/src/admin/status.rs
+++ b/src/admin/status.rs
@@ -7,7 +7,7 @@
 use smol_str::SmolStr;
 
 use crate::host;
-use crate::logs::reach;
+use crate::logs::reachability;
 use crate::node;
 use crate::traffic;
 use crate::version;
@@ -85,7 +85,7 @@
     /// When it applied that version, in milliseconds since the Unix epoch.
     pub applied_unix_ms: Option<u64>,
     /// Whether the log answers it, and since when.
-    pub log: reach::Reach,
+    pub log: reachability::Reachability,
     /// The upstream beside it.
     pub local: Option<Local>,
     /// Hosts it knows, by health.
@@ -110,9 +110,9 @@
     /// The known hosts.
     pub view: &'a view::View,
     /// The upstream beside it.
-    pub local: Option<&'a node::Local>,
+    pub local: Option<&'a node::LocalUpstream>,
     /// Whether the log answers.
-    pub log: reach::Reach,
+    pub log: reachability::Reachability,
     /// Whether it may take calls.
     pub ready: bool,
     /// Its control traffic.
@@ -173,7 +173,7 @@
     }
 }
 
-fn local(local: &node::Local) -> Local {
+fn local(local: &node::LocalUpstream) -> Local {
     let upstream = &local.upstream;
     Local {
         service: upstream.service.clone(),
--- a/src/admin/tests/report.rs
+++ b/src/admin/tests/report.rs
@@ -8,7 +8,7 @@
 
 use crate::admin::{scatter, status, whole};
 use crate::host;
-use crate::logs::reach;
+use crate::logs::reachability;
 
 fn host(n: u8) -> host::HostId {
     host::HostId::new(net::SocketAddr::from(([10, 0, 0, n], 7100)))
@@ -24,7 +24,7 @@
         version,
         digest: format!("{version:032x}"),
         applied_unix_ms: Some(applied),
-        log: reach::Reach::Unasked,
+        log: reachability::Reachability::Unasked,
         local: None,
         members: status::Members::default(),
         upstreams: collections::BTreeMap::new(),
@@ -55,8 +55,8 @@
 #[test]
 fn the_longest_outage_of_the_log_is_told() {
     let mut answers = [answer(1, "a", 7, 0), answer(2, "a", 7, 0), answer(3, "a", 7, 0)];
-    answers[0].log = reach::Reach::Fails { since_unix_ms: 800 };
-    answers[1].log = reach::Reach::Fails { since_unix_ms: 700 };
+    answers[0].log = reachability::Reachability::Fails { since_unix_ms: 800 };
+    answers[1].log = reachability::Reachability::Fails { since_unix_ms: 700 };
     let log = whole::mesh(&answers, Vec::new(), 2000).log;
     assert_eq!((log.answers, log.fails, log.unasked), (0, 2, 1));
     assert_eq!(log.fails_since_unix_ms, Some(700));
@@ -90,9 +90,9 @@
 
 #[test]
 fn reach_keeps_the_first_moment() {
-    let mut reach = reach::Reach::Unasked;
+    let mut reach = reachability::Reachability::Unasked;
     for (success, at) in [(true, 1), (true, 2), (false, 3), (false, 4)] {
         reach = reach.after(success, at);
     }
-    assert_eq!(reach, reach::Reach::Fails { since_unix_ms: 3 });
+    assert_eq!(reach, reachability::Reachability::Fails { since_unix_ms: 3 });
 }
--- a/src/admin/tests/served.rs
+++ b/src/admin/tests/served.rs
@@ -12,7 +12,7 @@
 use crate::configs;
 use crate::context;
 use crate::host;
-use crate::logs::reach;
+use crate::logs::reachability;
 use crate::mesh;
 use crate::node;
 use crate::ring;
@@ -29,10 +29,10 @@
     host: host::HostId,
     applied: watch::Sender<Arc<mesh::Applied>>,
     view: watch::Sender<Arc<view::View>>,
-    local: watch::Receiver<Option<Arc<node::Local>>>,
+    local: watch::Receiver<Option<Arc<node::LocalUpstream>>>,
     tallies: ring::Sender<usage::Delta>,
     stage: watch::Sender<node::Stage>,
-    _reach: watch::Sender<reach::Reach>,
+    _reach: watch::Sender<reachability::Reachability>,
 }
 
 /// An address that no other test of this process or of another checkout uses.
@@ -48,7 +48,7 @@
     let (applied, applied_end) = watch::channel(Arc::default());
     let (view, view_end) = watch::channel(Arc::default());
     let (local_end, local) = watch::channel(None);
-    let (reach, reach_end) = watch::channel(reach::Reach::Unasked);
+    let (reach, reach_end) = watch::channel(reachability::Reachability::Unasked);
     let (tallies, tallies_end) = ring::bounded(4);
     let (stage, stage_end) = watch::channel(node::Stage::Run);
     let wiring = shell::Wiring {
--- a/src/admin/whole.rs
+++ b/src/admin/whole.rs
@@ -6,7 +6,7 @@
 use smol_str::SmolStr;
 
 use crate::admin::status;
-use crate::logs::reach;
+use crate::logs::reachability;
 
 /// Most hosts that are named in one list of a report; the counts are always complete.
 pub const NAMED: usize = 50;
@@ -147,9 +147,9 @@
     let mut log = Log::default();
     for answer in answers {
         match answer.log {
-            reach::Reach::Unasked => log.unasked += 1,
-            reach::Reach::Answers { .. } => log.answers += 1,
-            reach::Reach::Fails { since_unix_ms } => {
+            reachability::Reachability::Unasked => log.unasked += 1,
+            reachability::Reachability::Answers { .. } => log.answers += 1,
+            reachability::Reachability::Fails { since_unix_ms } => {
                 log.fails += 1;
                 let first = log.fails_since_unix_ms.unwrap_or(since_unix_ms);
                 log.fails_since_unix_ms = Some(first.min(since_unix_ms));
--- a/src/cli/node.rs
+++ b/src/cli/node.rs
@@ -32,7 +32,7 @@
 ///
 /// Settings that can't be used, a duty that failed.
 pub fn run(args: &Args) -> Result<(), exit::Failure> {
-    run_with(&args.settings, ports::Own)
+    run_with(&args.settings, ports::Builtin)
 }
 
 /// The same for the settings file `path` of a node with other `ports`.
--- a/src/logs/mod.rs
+++ b/src/logs/mod.rs
@@ -8,7 +8,7 @@
 
 pub mod connection;
 pub mod http;
-pub mod reach;
+pub mod reachability;
 pub mod wire;
 
 /// Place of a record in its stream; the first record has offset 0.
--- a/src/logs/reach.rs
+++ b/src/logs/reachability.rs
@@ -14,7 +14,7 @@
 /// Whether the log service answers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "state")]
-pub enum Reach {
+pub enum Reachability {
     /// This process has not asked it yet.
     #[default]
     Unasked,
@@ -30,13 +30,13 @@
     },
 }
 
-impl Reach {
+impl Reachability {
     /// What holds after a request that ended at `unix_ms`, with success or not.
     pub const fn after(self, success: bool, unix_ms: u64) -> Self {
         match (self, success) {
-            (Reach::Answers { .. }, true) | (Reach::Fails { .. }, false) => self,
-            (_, true) => Reach::Answers { since_unix_ms: unix_ms },
-            (_, false) => Reach::Fails { since_unix_ms: unix_ms },
+            (Reachability::Answers { .. }, true) | (Reachability::Fails { .. }, false) => self,
+            (_, true) => Reachability::Answers { since_unix_ms: unix_ms },
+            (_, false) => Reachability::Fails { since_unix_ms: unix_ms },
         }
     }
 }
@@ -46,12 +46,12 @@
 pub struct Watched<S> {
     inner: S,
     clock: clock::System,
-    reach: Arc<watch::Sender<Reach>>,
+    reach: Arc<watch::Sender<Reachability>>,
 }
 
 impl<S> Watched<S> {
     /// Watches `inner` and tells `reach`.
-    pub fn new(inner: S, clock: clock::System, reach: Arc<watch::Sender<Reach>>) -> Self {
+    pub fn new(inner: S, clock: clock::System, reach: Arc<watch::Sender<Reachability>>) -> Self {
         Self { inner, clock, reach }
     }
 
--- a/src/member/directory/search.rs
+++ b/src/member/directory/search.rs
@@ -54,7 +54,7 @@
     /// Where it stands.
     pub locality: view::Locality,
     /// The upstream beside it.
-    pub local: watch::Receiver<Option<Arc<node::Local>>>,
+    pub local: watch::Receiver<Option<Arc<node::LocalUpstream>>>,
     /// Configuration that it runs, which tells the epoch of the log.
     pub applied: watch::Receiver<Arc<mesh::Applied>>,
 }
--- a/src/member/directory/search/tests.rs
+++ b/src/member/directory/search/tests.rs
@@ -93,7 +93,7 @@
 /// A host under test, with the upstream beside it.
 struct Host {
     search: search::Search,
-    local: watch::Sender<Option<Arc<node::Local>>>,
+    local: watch::Sender<Option<Arc<node::LocalUpstream>>>,
     applied: watch::Sender<Arc<mesh::Applied>>,
 }
 
@@ -101,7 +101,7 @@
     host::HostId::new((net::Ipv4Addr::new(10, 0, 0, last), 7100).into())
 }
 
-fn upstream(slots: u16, phase: view::Phase) -> Option<Arc<node::Local>> {
+fn upstream(slots: u16, phase: view::Phase) -> Option<Arc<node::LocalUpstream>> {
     let (service, class) = ("shop".into(), "shop".into());
     let upstream = view::Upstream {
         service,
@@ -114,7 +114,7 @@
         trial: Default::default(),
     };
     let address = (net::Ipv4Addr::new(10, 0, 0, 1), 80).into();
-    Some(Arc::new(node::Local { address, instance: "i".into(), upstream }))
+    Some(Arc::new(node::LocalUpstream { address, instance: "i".into(), upstream }))
 }
 
 /// Starts the search of host `last`, whose upstream has announced itself if `serves`.
@@ -203,7 +203,7 @@
 #[case::none(None, 0)]
 #[tokio::test(start_paused = true)]
 async fn a_host_lists_itself_anew_for_what_lasts(
-    #[case] local: Option<Arc<node::Local>>,
+    #[case] local: Option<Arc<node::LocalUpstream>>,
     #[case] enters: u32,
 ) {
     play(async {
--- a/src/member/shell.rs
+++ b/src/member/shell.rs
@@ -41,7 +41,7 @@
     /// probe says it again.
     pub heard: ring::Sender<member::VersionMismatch>,
     /// The upstream beside this node.
-    pub local: watch::Receiver<Option<Arc<node::Local>>>,
+    pub local: watch::Receiver<Option<Arc<node::LocalUpstream>>>,
     /// Requests under which upstreams end.
     pub quarantine: quarantine::MemberSide,
     /// Stage of the process; the duty leaves the mesh and ends at [`node::Stage::End`].
@@ -98,7 +98,7 @@
 
 /// Whether the upstream stays where it is: its node is about to start again and stays listed, so that
 /// a roll of all nodes costs two requests less for each.
-fn serves(local: &watch::Receiver<Option<Arc<node::Local>>>) -> bool {
+fn serves(local: &watch::Receiver<Option<Arc<node::LocalUpstream>>>) -> bool {
     let local = local.borrow();
     local.as_ref().is_some_and(|local| local.upstream.phase != view::Phase::Draining)
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -31,7 +31,7 @@
 
 /// The upstream beside this node, while its announcement is renewed.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Local {
+pub struct LocalUpstream {
     /// Where it takes calls (HTTP/1.1).
     pub address: net::SocketAddr,
     /// Which of the upstreams that ever ran there it is; empty when it gives itself no name.
--- a/src/node/ports.rs
+++ b/src/node/ports.rs
@@ -38,9 +38,9 @@
 
 /// The product's own protocols.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Own;
+pub struct Builtin;
 
-impl Ports for Own {
+impl Ports for Builtin {
     type Log = logs::http::Client;
     type Directory = directory::Fixed;
     type Statuses = stream::Stream<logs::http::Client>;
--- a/src/node/shell.rs
+++ b/src/node/shell.rs
@@ -34,7 +34,7 @@
 const TALLIES: usize = 16;
 
 /// The log service as the duties use it.
-type Log<P> = logs::reach::Watched<<P as ports::Ports>::Log>;
+type Log<P> = logs::reachability::Watched<<P as ports::Ports>::Log>;
 
 /// A request for a planned stop.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -128,15 +128,15 @@
     traffic: Arc<traffic::Traffic>,
     metrics: admin::metrics::Metrics,
     /// Told by every client of the log.
-    told: Arc<watch::Sender<logs::reach::Reach>>,
-    reach: watch::Receiver<logs::reach::Reach>,
+    told: Arc<watch::Sender<logs::reachability::Reachability>>,
+    reach: watch::Receiver<logs::reachability::Reachability>,
     stage: watch::Sender<node::Stage>,
 }
 
 impl<P: ports::Ports> Wires<P> {
     fn new(ctx: context::Context, settings: configs::Node, ports: P) -> Self {
         let traffic = Arc::new(traffic::Traffic::default());
-        let (told, reach) = watch::channel(logs::reach::Reach::default());
+        let (told, reach) = watch::channel(logs::reachability::Reachability::default());
         Self {
             ports,
             ctx,
@@ -152,7 +152,7 @@
     /// A client of the log service; each duty has its own.
     fn log(&self) -> Log<P> {
         let client = self.ports.log(&self.settings, Arc::clone(&self.traffic));
-        logs::reach::Watched::new(client, self.ctx.clock, Arc::clone(&self.told))
+        logs::reachability::Watched::new(client, self.ctx.clock, Arc::clone(&self.told))
     }
 
     /// Starts the duties; the first of the result is that of calls.
--- a/src/proxy/owner.rs
+++ b/src/proxy/owner.rs
@@ -178,7 +178,7 @@
 fn find<C: claim::Claims>(
     state: &state::State<C>,
     order: &order::Order<'_>,
-) -> Result<node::Local, refuse::Refusal> {
+) -> Result<node::LocalUpstream, refuse::Refusal> {
     // Another host may serve it: to the entry, an upstream that went or changed is a leaving one.
     const GONE: refuse::Refusal = refuse::Refusal::not_run(retry::Reason::Draining);
     let local = state.local.borrow();
@@ -219,7 +219,7 @@
 /// was sent is replaced by another.
 async fn send<C: claim::Claims>(
     state: &state::State<C>,
-    local: &node::Local,
+    local: &node::LocalUpstream,
     mut request: http::Request<upload::Upload>,
     end: time::Instant,
 ) -> Result<(pool::Lease, http::Response<hyper::body::Incoming>), refuse::Refusal> {
@@ -271,7 +271,7 @@
 /// Writes the headers that only the upstream's own node can give.
 fn address(
     dialect: &dialect::Dialect,
-    local: &node::Local,
+    local: &node::LocalUpstream,
     left: Duration,
     map: &mut header::HeaderMap,
 ) {
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -64,7 +64,7 @@
     /// Claims of idempotency keys.
     pub claims: C,
     /// The upstream beside this node.
-    pub local: watch::Receiver<Option<Arc<node::Local>>>,
+    pub local: watch::Receiver<Option<Arc<node::LocalUpstream>>>,
     /// The mesh's hosts.
     pub view: watch::Receiver<Arc<view::View>>,
     /// How far the process is in its life.
@@ -376,7 +376,7 @@
     /// Forgets what was learned of the upstream seen last when `local` is another one, or the same in
     /// another life. Calls that ran in a life which has ended would hold their slots until their
     /// deadline; those of another instance, which may be leaving, go on.
-    fn greet(&self, local: &node::Local) {
+    fn greet(&self, local: &node::LocalUpstream) {
         let now = (local.instance.clone(), local.upstream.incarnation);
         let Some((instance, life)) = self.seen.replace(Some(now)) else { return };
         if life == local.upstream.incarnation {
@@ -390,7 +390,7 @@
 
     /// Sends those who wait for an upstream that is leaving elsewhere, and lets calls in again for
     /// the next one.
-    fn let_in(&self, local: Option<&node::Local>) {
+    fn let_in(&self, local: Option<&node::LocalUpstream>) {
         let leaving = local.is_some_and(|l| l.upstream.phase == view::Phase::Draining);
         if leaving || self.draining() {
             self.slots.drain();
--- a/src/proxy/wiring.rs
+++ b/src/proxy/wiring.rs
@@ -24,7 +24,7 @@
     /// The mesh's hosts.
     pub view: watch::Receiver<Arc<view::View>>,
     /// The upstream beside this node.
-    pub local: watch::Receiver<Option<Arc<node::Local>>>,
+    pub local: watch::Receiver<Option<Arc<node::LocalUpstream>>>,
     /// How far the process is in its life.
     pub stage: watch::Receiver<node::Stage>,
     /// Takes usage counts; a full ring leaves them here for the next time.
--- a/src/standin/small.rs
+++ b/src/standin/small.rs
@@ -139,7 +139,7 @@
         let host = self.hosts[index].clone();
         let id = host::HostId::new(host.listen);
         let context = context::Context::system();
-        let node = shell::Node::start(context, self.node_settings(settings, index), ports::Own);
+        let node = shell::Node::start(context, self.node_settings(settings, index), ports::Builtin);
         let node = node.map_err(|e| Error::Node(id, e))?;
         let (stop, stops) = ring::bounded(STOPS);
         self.nodes.push((id, stop, tokio::spawn(node.run(stops))));
--- a/tests/calls/drain.rs
+++ b/tests/calls/drain.rs
@@ -140,8 +140,11 @@
         // Only the owner knows: the upstream said so to its own node.
         let mut upstream = rig::shop(4);
         upstream.phase = view::Phase::Draining;
-        let local =
-            node::Local { address: leaving.address, instance: Default::default(), upstream };
+        let local = node::LocalUpstream {
+            address: leaving.address,
+            instance: Default::default(),
+            upstream,
+        };
         nodes[1].local.send_replace(Some(Arc::new(local)));
         for number in 0..40 {
             let id = format!("r{number}");
@@ -165,7 +168,11 @@
         rig::call(&nodes[0], rig::request("POST", "/orders", "r"), b"").await;
         let upstream = view::Upstream { phase: view::Phase::Draining, ..rig::shop(4) };
         let (address, instance) = (leaving.address, Default::default());
-        nodes[1].local.send_replace(Some(Arc::new(node::Local { address, instance, upstream })));
+        nodes[1].local.send_replace(Some(Arc::new(node::LocalUpstream {
+            address,
+            instance,
+            upstream,
+        })));
         // Nothing runs for half a second but for a moment now and then: the first call there takes long.
         tokio::task::spawn_local(async {
             for _ in 0..8 {
@@ -193,7 +200,7 @@
         let fake = fake::Fake::start(fake::echo).await;
         let nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
         let local = upstream.map(|u| {
-            Arc::new(node::Local {
+            Arc::new(node::LocalUpstream {
                 address: fake.address,
                 instance: Default::default(),
                 upstream: u,
@@ -319,7 +326,7 @@
             rig::until(|| fake.runs("lost") == 1).await;
             let upstream = view::Upstream { incarnation: 1, ..rig::shop(1) };
             let address = fake.address;
-            let local = node::Local { address, instance: Default::default(), upstream };
+            let local = node::LocalUpstream { address, instance: Default::default(), upstream };
             nodes[1].local.send_replace(Some(Arc::new(local)));
             rig::call(&nodes[0], rig::request("POST", "/orders", "next"), b"").await
         };
@@ -339,7 +346,8 @@
         let next = async {
             rig::until(|| fake.runs("other") == 1).await;
             let upstream = view::Upstream { incarnation: 1, ..rig::shop(4) };
-            let local = node::Local { address: fake.address, instance: "next".into(), upstream };
+            let local =
+                node::LocalUpstream { address: fake.address, instance: "next".into(), upstream };
             nodes[1].local.send_replace(Some(Arc::new(local)));
         };
         let call = rig::call(&nodes[0], rig::request("POST", "/orders", "other"), b"");
--- a/tests/calls/rig.rs
+++ b/tests/calls/rig.rs
@@ -92,7 +92,7 @@
     /// How far it is in its life.
     pub stage: watch::Sender<node::Stage>,
     /// The upstream beside it.
-    pub local: watch::Sender<Option<Arc<node::Local>>>,
+    pub local: watch::Sender<Option<Arc<node::LocalUpstream>>>,
     /// Usage that it counted.
     pub tallies: ring::Receiver<usage::Delta>,
     view: watch::Sender<Arc<view::View>>,
@@ -194,7 +194,11 @@
     let id = host::HostId::new(settings.listen);
     let described = upstream.map(|_| shop(slots));
     let beside = upstream.map(|address| {
-        Arc::new(node::Local { address, instance: Default::default(), upstream: shop(slots) })
+        Arc::new(node::LocalUpstream {
+            address,
+            instance: Default::default(),
+            upstream: shop(slots),
+        })
     });
     let (stage, stages) = watch::channel(node::Stage::Run);
     let (local, locals) = watch::channel(beside);
--- a/tests/member_shell.rs
+++ b/tests/member_shell.rs
@@ -30,7 +30,7 @@
     applied: watch::Sender<Arc<mesh::Applied>>,
     heard: ring::Receiver<member::VersionMismatch>,
     traffic: Arc<traffic::Traffic>,
-    _local: watch::Sender<Option<Arc<node::Local>>>,
+    _local: watch::Sender<Option<Arc<node::LocalUpstream>>>,
     thread: thread::JoinHandle<Result<(), member::Error>>,
 }
 
@@ -58,7 +58,8 @@
         version: Default::default(),
         trial: Default::default(),
     };
-    let local = node::Local { address: address(index), instance: Default::default(), upstream };
+    let local =
+        node::LocalUpstream { address: address(index), instance: Default::default(), upstream };
     let (applied, applied_rx) = watch::channel(Arc::default());
     let (view_tx, view) = watch::channel(Arc::default());
     let (heard_tx, heard) = ring::bounded(8);
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -90,7 +90,8 @@
     });
     let (_applied, applied) = watch::channel(Arc::default());
     let (_view, view) = watch::channel(Arc::new(view::View::new(hosts.to_vec())));
-    let (_reach, reach) = watch::channel(logs::reach::Reach::Fails { since_unix_ms: 1000 });
+    let (_reach, reach) =
+        watch::channel(logs::reachability::Reachability::Fails { since_unix_ms: 1000 });
     let (_tallies, tallies) = ring::bounded(1);
     let (_stage, stage) = watch::channel(node::Stage::Run);
     let wiring = admin::shell::Wiring {
