--- a/src/proxy/ask.rs
+++ b/src/proxy/ask.rs
@@ -74,13 +74,13 @@
             return Err(TOO_LONG);
         }
         let host = host(&parts.uri, map, parts.version).ok_or(MALFORMED)?;
-        let left = number(map, dialect.left.as_str())?.map(time::Duration::from_millis);
+        let left = number(map, dialect.remaining.as_str())?.map(time::Duration::from_millis);
         let depth = small(number(map, headers::DEPTH)?.unwrap_or(0));
         let outer = small(number(map, headers::ATTEMPT)?.unwrap_or(1));
         let key = single(map, headers::IDEMPOTENCY_KEY).ok_or(MALFORMED)?;
         let known = single(map, dialect.id.as_str()).ok_or(MALFORMED)?;
         strip(map);
-        map.remove(&dialect.left);
+        map.remove(&dialect.remaining);
         map.remove(header::HOST);
         map.remove(header::CONTENT_LENGTH);
         let mut id = known.unwrap_or_else(id);
--- a/src/proxy/dialect.rs
+++ b/src/proxy/dialect.rs
@@ -1,27 +1,29 @@
-//! The header names by which callers and upstreams speak to a node.
+//! The header names that callers and upstreams use towards a node.
 //!
-//! Calls between nodes keep the names of [`headers`]; a dialect holds only at the two edges.
+//! Calls between nodes always use the names of [`headers`]; a dialect applies only between a caller
+//! and its entry node, and between an owner node and its upstream.
 
 use http::header;
 
 use crate::proxy::headers;
 
-/// Header names at the edges of the mesh.
+/// Header names used by callers and upstreams.
 #[derive(Clone, Debug)]
 pub struct Dialect {
-    /// Names a request; an upstream's answer echoes it.
+    /// Identifies a request; an upstream's answer echoes it.
     pub id: header::HeaderName,
-    /// Time left for a call, in whole milliseconds.
-    pub left: header::HeaderName,
-    /// Tells an upstream the service of the host where a call began; `None` leaves it untold.
+    /// Time remaining for a call, in whole milliseconds.
+    pub remaining: header::HeaderName,
+    /// Names the service of the host where a call began, for the upstream. `None`: not sent.
     pub caller: Option<header::HeaderName>,
-    /// Names the instance that an upstream must be to run a call; `None` leaves it unchecked.
+    /// Names the instance that may run a call; another instance refuses it. `None`: not sent.
     pub instance: Option<header::HeaderName>,
-    /// Stands in an upstream's answer when it has not run the call.
-    pub unrun: header::HeaderName,
-    /// Stands in every answer that an upstream itself made; `None` takes every answer for its own.
-    pub proof: Option<header::HeaderName>,
-    /// Whether the product's own headers are shown to callers and upstreams.
+    /// Set by an upstream on the answer to a call that it has not run.
+    pub not_run: header::HeaderName,
+    /// Set on every answer that an upstream made itself, rather than a proxy in between. `None`:
+    /// not checked.
+    pub signature: Option<header::HeaderName>,
+    /// Whether callers and upstreams get the project's own `dandelionspool-` headers.
     pub verbose: bool,
 }
 
@@ -29,77 +31,78 @@
     fn default() -> Self {
         Self {
             id: header::HeaderName::from_static(headers::REQUEST_ID),
-            left: header::HeaderName::from_static(headers::DEADLINE),
+            remaining: header::HeaderName::from_static(headers::DEADLINE),
             caller: None,
             instance: None,
-            unrun: header::HeaderName::from_static(headers::UPSTREAM),
-            proof: None,
+            not_run: header::HeaderName::from_static(headers::UPSTREAM),
+            signature: None,
             verbose: true,
         }
     }
 }
 
 impl Dialect {
-    /// The same with `id` as the name of a request.
+    /// Sets the header that identifies a request.
     #[must_use]
     pub fn id(mut self, id: &'static str) -> Self {
         self.id = header::HeaderName::from_static(id);
         self
     }
 
-    /// The same with `left` for the time that is left.
+    /// Sets the header for the time remaining for a call.
     #[must_use]
-    pub fn left(mut self, left: &'static str) -> Self {
-        self.left = header::HeaderName::from_static(left);
+    pub fn remaining(mut self, remaining: &'static str) -> Self {
+        self.remaining = header::HeaderName::from_static(remaining);
         self
     }
 
-    /// The same with `caller` for the calling service.
+    /// Sets the header for the calling service.
     #[must_use]
     pub fn caller(mut self, caller: &'static str) -> Self {
         self.caller = Some(header::HeaderName::from_static(caller));
         self
     }
 
-    /// The same with `instance` for the instance that has to run a call.
+    /// Sets the header for the instance that may run a call.
     #[must_use]
     pub fn instance(mut self, instance: &'static str) -> Self {
         self.instance = Some(header::HeaderName::from_static(instance));
         self
     }
 
-    /// The same with `unrun` for a call that did not run.
+    /// Sets the header by which an upstream says that it has not run a call.
     #[must_use]
-    pub fn unrun(mut self, unrun: &'static str) -> Self {
-        self.unrun = header::HeaderName::from_static(unrun);
+    pub fn not_run(mut self, not_run: &'static str) -> Self {
+        self.not_run = header::HeaderName::from_static(not_run);
         self
     }
 
-    /// The same with `proof` for what every upstream's answer bears.
+    /// Sets the header that every upstream's own answer has.
     #[must_use]
-    pub fn proof(mut self, proof: &'static str) -> Self {
-        self.proof = Some(header::HeaderName::from_static(proof));
+    pub fn signature(mut self, signature: &'static str) -> Self {
+        self.signature = Some(header::HeaderName::from_static(signature));
         self
     }
 
-    /// The same without the product's own headers.
+    /// Keeps the project's own headers from callers and upstreams.
     #[must_use]
     pub const fn terse(mut self) -> Self {
         self.verbose = false;
         self
     }
 
-    /// Whether the head of an upstream's answer says that the call has not run.
-    pub fn is_unrun(&self, status: http::StatusCode, map: &header::HeaderMap) -> bool {
-        let elsewhere = self.instance.is_some() && status == http::StatusCode::MISDIRECTED_REQUEST;
-        let Some(value) = map.get(&self.unrun) else { return elsewhere };
+    /// Whether the status and headers of an upstream's answer say that it has not run the call.
+    pub fn is_not_run(&self, status: http::StatusCode, map: &header::HeaderMap) -> bool {
+        let misdirected =
+            self.instance.is_some() && status == http::StatusCode::MISDIRECTED_REQUEST;
+        let Some(value) = map.get(&self.not_run) else { return misdirected };
         let shed = status == http::StatusCode::SERVICE_UNAVAILABLE && value == headers::SHED;
-        // The product's own mark has other values, too; elsewhere its presence is what counts.
+        // The project's own header must have this value; any other header counts by its presence.
         shed || !self.verbose
     }
 
-    /// Whether an answer with these headers is an upstream's own.
-    pub fn is_proven(&self, map: &header::HeaderMap) -> bool {
-        self.proof.as_ref().is_none_or(|proof| map.contains_key(proof))
+    /// Whether an answer with these headers was made by an upstream itself.
+    pub fn is_signed(&self, map: &header::HeaderMap) -> bool {
+        self.signature.as_ref().is_none_or(|signature| map.contains_key(signature))
     }
 }
--- a/src/proxy/owner.rs
+++ b/src/proxy/owner.rs
@@ -97,7 +97,7 @@
     hold.run = Some(state.runs.enter(id.clone(), print));
     address(&state.dialect, &local, left, request.headers_mut());
     let (lease, answer) = send(state, &local, request, end).await?;
-    if state.dialect.is_unrun(answer.status(), answer.headers()) {
+    if state.dialect.is_not_run(answer.status(), answer.headers()) {
         drain(answer, lease, end).await;
         if let Some(slot) = hold.slot.take() {
             slot.shed();
@@ -279,7 +279,7 @@
         map.remove(headers::DEADLINE);
     }
     let left = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-    map.insert(&dialect.left, header::HeaderValue::from(left));
+    map.insert(&dialect.remaining, header::HeaderValue::from(left));
     let Some(name) = &dialect.instance else { return };
     map.remove(name);
     if let Ok(instance) = header::HeaderValue::from_str(&local.instance) {
@@ -307,9 +307,9 @@
     answer: &http::Response<hyper::body::Incoming>,
 ) -> Result<(), refuse::Refusal> {
     let echo = answer.headers().get(&dialect.id);
-    let crossed = echo != id && (echo.is_some() || dialect.proof.is_some());
+    let crossed = echo != id && (echo.is_some() || dialect.signature.is_some());
     let upgraded = answer.status().is_informational();
-    let foreign = !dialect.is_proven(answer.headers());
+    let foreign = !dialect.is_signed(answer.headers());
     if crossed || foreign || upgraded || !is_framed(method, answer) {
         return Err(refuse::Refusal::unknown(retry::Reason::Malformed));
     }
