--- a/benches/member.rs
+++ b/benches/member.rs
@@ -31,7 +31,7 @@
         group.bench_function(BenchmarkId::from_parameter(count), |b| {
             b.iter(|| {
                 life += 1;
-                feed.news(9, life, view::Phase::Serving, 40);
+                feed.gossip(9, life, view::Phase::Serving, 40);
             });
         });
     }
--- a/examples/member_cost.rs
+++ b/examples/member_cost.rs
@@ -43,7 +43,7 @@
     net.run(time::Duration::from_secs(3));
     net.handle(index, member::Event::Stage(node::Stage::End));
     net.kill(index);
-    let fresh = net.add(net::settings(net.slots.len()));
+    let fresh = net.add(net::settings(net.hosts.len()));
     net.run(time::Duration::from_secs(3));
     let warm = net::upstream(fresh, view::Phase::Serving);
     net.handle(fresh, member::Event::Local(Some(warm.into())));
@@ -89,7 +89,7 @@
     // A hundred changes, each heard from as many peers as pass it on.
     let (start, tally) = (time::Instant::now(), feed.tally);
     for change in 0..100 {
-        feed.news(100 + change, 1, view::Phase::Serving, 40);
+        feed.gossip(100 + change, 1, view::Phase::Serving, 40);
         for _ in 0..60 {
             feed.second();
         }
--- a/src/member/detect.rs
+++ b/src/member/detect.rs
@@ -12,20 +12,20 @@
 use crate::member;
 use crate::member::gossip;
 use crate::member::probe;
-use crate::member::rumors;
 use crate::member::standing;
 use crate::member::table;
+use crate::member::updates;
 use crate::member::wire;
 use crate::member::zones;
 
 /// Hosts of a silent zone that are probed at once.
-const CHECKED: usize = 3;
+const ZONE_SAMPLE: usize = 3;
 
 /// Hosts pinged to find out what became of this one.
-const PROOFS: usize = 3;
+const CONFIRM_PINGS: usize = 3;
 
 /// Every so many knocks a configured address is tried even while other hosts answer.
-const KNOCKS: u32 = 8;
+const JOIN_ADDRESS_EVERY: u32 = 8;
 
 /// Timers of detection.
 #[derive(Clone, Debug, Default)]
@@ -33,12 +33,12 @@
     /// When each suspect is declared dead.
     suspects: collections::BTreeMap<host::HostId, clock::Instant>,
     knock: clock::Instant,
-    knocks: u32,
+    reconnects: u32,
     forget: clock::Instant,
     /// When this host last asked what the others hold against it.
-    proved: Option<clock::Instant>,
+    confirmed_at: Option<clock::Instant>,
     /// When doubt of the own standing ends although nobody answered.
-    alone: Option<clock::Instant>,
+    alone_at: Option<clock::Instant>,
 }
 
 impl Timers {
@@ -54,7 +54,7 @@
 
     /// When a timer is due next.
     pub fn wake(&self) -> clock::Instant {
-        let timers = [self.knock, self.forget].into_iter().chain(self.alone);
+        let timers = [self.knock, self.forget].into_iter().chain(self.alone_at);
         let due = timers.chain(self.suspects.values().copied()).min();
         due.unwrap_or(self.forget)
     }
@@ -62,11 +62,11 @@
 
 impl member::Member {
     /// Sets the first timers, each at a random part of its period.
-    pub(super) fn start(&mut self) {
+    pub(super) fn start_timers(&mut self) {
         let part = self.rng.random_range(0.0..1.0);
         self.prober.forgive(self.now + millis(self.settings.probe_ms).mul_f64(part));
         self.detect.knock = self.now + millis(self.settings.knock_ms).mul_f64(part);
-        self.detect.forget = self.now + member::FORGET.mul_f64(part);
+        self.detect.forget = self.now + member::CLEANUP_INTERVAL.mul_f64(part);
         // A herd that starts at once must not ask at once.
         self.join.delay(millis(self.settings.join_ms).mul_f64(part));
     }
@@ -79,7 +79,7 @@
                 probe::Step::Ask(target) => {
                     let sequence = self.probe(target, false);
                     for helper in self.sample(usize::from(self.settings.helpers), target) {
-                        self.send(helper, wire::Body::Ask { sequence, target });
+                        self.send(helper, wire::Body::PingRequest { sequence, target });
                     }
                 }
                 probe::Step::Failed { target, began } => {
@@ -98,7 +98,7 @@
         let (table, zones) = (&self.table, &self.zones);
         let wanted = |id| {
             let entry = table.get(id).filter(|e| e.is_present());
-            entry.is_some_and(|e| !zones.is_dark(&e.record.locality.zone))
+            entry.is_some_and(|e| !zones.is_unreachable(&e.record.locality.zone))
         };
         if let Some(target) = self.prober.choose(&self.peers, &mut self.rng, wanted) {
             self.probe(target, true);
@@ -110,7 +110,7 @@
         let sequence = self.ping(target);
         if ask {
             let late = self.now + millis(self.settings.answer_ms);
-            self.prober.sent(target, sequence, late, self.now);
+            self.prober.record_ping(target, sequence, late, self.now);
         }
         sequence
     }
@@ -125,36 +125,36 @@
 
     /// `from` answered a ping.
     pub(super) fn acknowledged(&mut self, from: host::HostId, sequence: u32) {
-        self.prober.answered(from, sequence);
+        self.prober.record_answer(from, sequence);
         self.change_standing(standing::Event::Answered(sequence));
-        if let Some(relay) = self.prober.relayed(from, sequence) {
-            let answered = wire::Body::Answered { sequence: relay.sequence, target: from };
+        if let Some(relay) = self.prober.take_relay(from, sequence) {
+            let answered = wire::Body::IndirectAck { sequence: relay.sequence, target: from };
             self.send(relay.asker, answered);
         }
     }
 
     /// A helper says that `target` answered it.
-    pub(super) fn vouched(&mut self, target: host::HostId, sequence: u32) {
-        self.prober.answered(target, sequence);
-        self.hear(target);
+    pub(super) fn indirectly_acked(&mut self, target: host::HostId, sequence: u32) {
+        self.prober.record_answer(target, sequence);
+        self.record_contact(target);
     }
 
     /// Pings `target` for `asker`.
-    pub(super) fn help(&mut self, asker: host::HostId, sequence: u32, target: host::HostId) {
+    pub(super) fn relay_ping(&mut self, asker: host::HostId, sequence: u32, target: host::HostId) {
         if target != self.id {
             let own = self.ping(target);
-            self.prober.relay(own, probe::Relay { asker, sequence, target });
+            self.prober.add_relay(own, probe::Relay { asker, sequence, target });
         }
     }
 
     /// Notes a sign of life of the zone of `id`.
-    pub(super) fn hear(&mut self, id: host::HostId) {
+    pub(super) fn record_contact(&mut self, id: host::HostId) {
         let Some(zone) = self.zone(id) else { return };
-        let lift = self.zones.hear(&zone, self.now);
+        let lift = self.zones.record_contact(&zone, self.now);
         if lift.dark {
             log::info!(zone = zone.as_str(); "availability zone answers again");
             self.dirty = true;
-            self.rumors.remove(&rumors::Topic::Dark(zone));
+            self.updates.remove(&updates::Topic::Unreachable(zone));
         }
         for id in lift.suspects {
             self.suspect(id);
@@ -164,17 +164,17 @@
     /// `target` did not answer since `began`: suspects it, or first checks its zone.
     fn fail(&mut self, target: host::HostId, began: clock::Instant) {
         let Some(zone) = self.zone(target) else { return };
-        if self.zones.heard_since(&zone, began) || !self.check_zone(&zone, Some(target)) {
+        if self.zones.contacted_since(&zone, began) || !self.check_zone(&zone, Some(target)) {
             self.suspect(target);
         }
     }
 
     /// Probes some hosts of a silent zone; `false` when it has no other host to ask.
     fn check_zone(&mut self, zone: &SmolStr, suspect: Option<host::HostId>) -> bool {
-        if self.zones.is_dark(zone) {
+        if self.zones.is_unreachable(zone) {
             return true;
         }
-        let targets = self.witnesses(zone, suspect);
+        let targets = self.sample_zone(zone, suspect);
         if targets.is_empty() {
             return false;
         }
@@ -187,31 +187,31 @@
     }
 
     /// Others say that they can't reach `zone`.
-    pub(super) fn doubt_zone(&mut self, zone: &SmolStr) {
+    pub(super) fn check_reported_zone(&mut self, zone: &SmolStr) {
         let period = millis(self.settings.probe_ms);
         let lately = clock::Instant::from_micros(
             self.now.as_micros().saturating_sub(2 * period.as_micros() as u64),
         );
-        if !self.zones.heard_since(zone, lately) {
+        if !self.zones.contacted_since(zone, lately) {
             self.check_zone(zone, None);
         }
     }
 
     /// A few random present hosts of `zone` without `but`.
-    fn witnesses(&mut self, zone: &SmolStr, but: Option<host::HostId>) -> Vec<host::HostId> {
+    fn sample_zone(&mut self, zone: &SmolStr, but: Option<host::HostId>) -> Vec<host::HostId> {
         let table = &self.table;
         let present = self.peers.iter().copied().filter(|&id| Some(id) != but);
         let inside = |id: &host::HostId| {
             table.get(*id).is_some_and(|e| e.claim.is_none() && e.record.locality.zone == *zone)
         };
         let inside: Vec<_> = present.filter(inside).collect();
-        inside.sample(&mut self.rng, CHECKED).copied().collect()
+        inside.sample(&mut self.rng, ZONE_SAMPLE).copied().collect()
     }
 
     fn suspect(&mut self, id: host::HostId) {
         let Some(incarnation) = self.table.get(id).map(|e| e.record.incarnation) else { return };
         let change = self.table.claim(id, incarnation, wire::Claim::Suspect, self.now);
-        self.follow(id, change, rumors::Rank::Soon, gossip::Way::Rumor);
+        self.apply_change(id, change, updates::Priority::Soon, gossip::Source::Gossip);
     }
 
     /// Runs what is due of checks, suspicions, knocks and forgetting.
@@ -220,13 +220,13 @@
         self.run_suspicions();
         if self.detect.knock <= self.now {
             self.detect.knock = self.now + self.jittered(millis(self.settings.knock_ms));
-            self.knock();
+            self.probe_lost();
         }
         if self.detect.forget <= self.now {
-            self.detect.forget = self.now + self.jittered(member::FORGET);
+            self.detect.forget = self.now + self.jittered(member::CLEANUP_INTERVAL);
             self.forget();
         }
-        if self.detect.alone.take_if(|at| *at <= self.now).is_some() {
+        if self.detect.alone_at.take_if(|at| *at <= self.now).is_some() {
             self.change_standing(standing::Event::Alone);
         }
     }
@@ -235,14 +235,18 @@
         for (zone, verdict) in self.zones.expire(self.round(), self.now) {
             match verdict {
                 zones::Verdict::Again => {
-                    for id in self.witnesses(&zone, None) {
+                    for id in self.sample_zone(&zone, None) {
                         self.ping(id);
                     }
                 }
-                zones::Verdict::Dark => {
+                zones::Verdict::Unreachable => {
                     log::warn!(zone = zone.as_str(); "availability zone can't be reached");
                     self.dirty = true;
-                    self.spread(rumors::Topic::Dark(zone), rumors::Rank::Soon, 0);
+                    self.queue_update(
+                        updates::Topic::Unreachable(zone),
+                        updates::Priority::Soon,
+                        0,
+                    );
                 }
             }
         }
@@ -261,25 +265,25 @@
         self.detect.clear(id);
         let Some(entry) = self.table.get(id) else { return };
         let (zone, incarnation) = (entry.record.locality.zone.clone(), entry.record.incarnation);
-        if !self.zones.heard_since(&zone, entry.since) && self.check_zone(&zone, Some(id)) {
-            self.detect.suspect(id, self.now + self.patience());
+        if !self.zones.contacted_since(&zone, entry.since) && self.check_zone(&zone, Some(id)) {
+            self.detect.suspect(id, self.now + self.suspicion_timeout());
             return;
         }
         log::warn!(host:% = id; "host declared dead");
         let change = self.table.claim(id, incarnation, wire::Claim::Dead, self.now);
-        self.follow(id, change, rumors::Rank::Urgent, gossip::Way::Rumor);
+        self.apply_change(id, change, updates::Priority::Urgent, gossip::Source::Gossip);
     }
 
     /// Pings a host that is not among the probed ones: of a dark zone, dead, or configured.
-    fn knock(&mut self) {
-        self.detect.knocks = self.detect.knocks.wrapping_add(1);
+    fn probe_lost(&mut self) {
+        self.detect.reconnects = self.detect.reconnects.wrapping_add(1);
         let lost = |id: host::HostId, e: &table::Entry| {
-            let dark = e.is_present() && self.zones.is_dark(&e.record.locality.zone);
+            let dark = e.is_present() && self.zones.is_unreachable(&e.record.locality.zone);
             id != self.id && (dark || e.claim == Some(wire::Claim::Dead))
         };
         let lost: Vec<_> = self.table.iter().filter(|(id, e)| lost(*id, e)).collect();
         let mut target = lost.choose(&mut self.rng).map(|(id, _)| *id);
-        if self.peers.is_empty() || self.detect.knocks.is_multiple_of(KNOCKS) {
+        if self.peers.is_empty() || self.detect.reconnects.is_multiple_of(JOIN_ADDRESS_EVERY) {
             let strangers = self.join.addresses().filter(|&id| self.table.get(id).is_none());
             let strangers: Vec<_> = strangers.collect();
             target = strangers.choose(&mut self.rng).copied().or(target);
@@ -294,14 +298,14 @@
         let old = self.zones.dark().filter(|(_, since)| self.now.since(*since) > dark_limit);
         let zones: Vec<SmolStr> = old.map(|(zone, _)| zone.clone()).collect();
         for zone in zones {
-            self.bury(&zone);
+            self.expire_zone(&zone);
         }
         self.table.forget(time::Duration::from_secs(self.settings.forget_s), self.now);
         self.quarantine.forget(self.now);
     }
 
     /// Counts the hosts of a zone that was dark for too long as dead, without telling anyone.
-    fn bury(&mut self, zone: &SmolStr) {
+    fn expire_zone(&mut self, zone: &SmolStr) {
         let inside = |e: &table::Entry| e.is_present() && e.record.locality.zone == *zone;
         let hosts = self.table.iter().filter(|(id, e)| *id != self.id && inside(e));
         let hosts: Vec<_> = hosts.map(|(id, e)| (id, e.record.incarnation)).collect();
@@ -315,14 +319,14 @@
 
     /// Pings a few hosts so that they say what they hold against this one; at most once a period,
     /// so that claims that can't be refuted make no storm.
-    pub(super) fn prove(&mut self) {
+    pub(super) fn confirm_standing(&mut self) {
         let period = millis(self.settings.probe_ms);
-        if self.detect.proved.is_some_and(|at| self.now.since(at) < period) {
+        if self.detect.confirmed_at.is_some_and(|at| self.now.since(at) < period) {
             return;
         }
-        self.detect.proved = Some(self.now);
-        self.detect.alone = Some(self.now + millis(self.settings.alone_ms));
-        for id in self.sample(PROOFS, self.id) {
+        self.detect.confirmed_at = Some(self.now);
+        self.detect.alone_at = Some(self.now + millis(self.settings.alone_ms));
+        for id in self.sample(CONFIRM_PINGS, self.id) {
             self.ping(id);
         }
     }
@@ -336,7 +340,7 @@
     }
 
     /// Time a suspect has to refute.
-    pub(super) fn patience(&self) -> time::Duration {
+    pub(super) fn suspicion_timeout(&self) -> time::Duration {
         let tenfolds = (self.table.present() as f64).log10().max(1.0);
         let period = millis(self.settings.probe_ms);
         (period * u32::from(self.settings.suspicion)).mul_f64(tenfolds)
@@ -344,7 +348,7 @@
 
     /// Whether `id` is known and not in a dark zone.
     pub(super) fn is_reachable(&self, id: host::HostId) -> bool {
-        self.zone(id).is_some_and(|zone| !self.zones.is_dark(&zone))
+        self.zone(id).is_some_and(|zone| !self.zones.is_unreachable(&zone))
     }
 
     fn zone(&self, id: host::HostId) -> Option<SmolStr> {
--- a/src/member/directory/search.rs
+++ b/src/member/directory/search.rs
@@ -19,27 +19,27 @@
 mod tests;
 
 /// Hosts that were found and have not been taken up yet.
-const FOUND: usize = 4;
+const CHANNEL_CAPACITY: usize = 4;
 
 /// How often the wait after a failure doubles. With 200 ms at first it grows to 1.6 s: a host is
 /// listed within two seconds of the directory's return, and asks it five times in place of forty
 /// in eight seconds without it.
-const MOST_DOUBLED: u32 = 3;
+const MAX_DOUBLINGS: u32 = 3;
 
 /// Longest a leaving host may take to strike itself off.
-const LEAVE: time::Duration = time::Duration::from_millis(400);
+const DEREGISTER_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 
 /// Longest that a host waits for its upstream before it lists itself without one, and once more when
 /// that comes. In a mesh that starts for the first time upstreams hold from the first configuration
 /// on, some three seconds after the hosts start.
-const PATIENCE: time::Duration = time::Duration::from_secs(4);
+const UPSTREAM_TIMEOUT: time::Duration = time::Duration::from_secs(4);
 
 /// Time from listing itself to the look after it: what hosts that start beside this one need to list
 /// themselves, whose upstreams announce themselves within half a second of each other.
-const TOGETHER: time::Duration = time::Duration::from_millis(500);
+const SECOND_LOOK_DELAY: time::Duration = time::Duration::from_millis(500);
 
 /// Time over which the hosts of a mesh list themselves again after the log came back from an older copy.
-const RELIST: time::Duration = time::Duration::from_secs(2);
+const RELIST_WINDOW: time::Duration = time::Duration::from_secs(2);
 
 /// Tells the order in which hosts do so from other orders of theirs.
 const PURPOSE: u64 = 0x6c69_7374;
@@ -70,14 +70,14 @@
     }
 
     /// Waits until the upstream has announced itself, for a while at most.
-    async fn announced(&mut self) {
+    async fn wait_announced(&mut self) {
         let known = self.local.wait_for(Option::is_some);
         // Without one the host lists itself all the same.
-        let _ = tokio::time::timeout(PATIENCE, known).await;
+        let _ = tokio::time::timeout(UPSTREAM_TIMEOUT, known).await;
     }
 
     /// Waits for an epoch of the log after `known`, and then for this host's turn in it; gives the epoch.
-    async fn restored(
+    async fn wait_restored(
         applied: &mut watch::Receiver<Arc<mesh::Applied>>,
         host: host::HostId,
         known: logs::Epoch,
@@ -88,13 +88,13 @@
             return future::pending().await;
         };
         let turn = host.weight(PURPOSE, epoch) as f64 / u64::MAX as f64;
-        tokio::time::sleep(RELIST.mul_f64(turn)).await;
+        tokio::time::sleep(RELIST_WINDOW.mul_f64(turn)).await;
         epoch
     }
 
     /// Waits until there is an upstream that `listed` does not tell of. One that is leaving, or gone,
     /// says nothing new: its host may follow it, and then strikes itself off.
-    async fn unlike(&mut self, listed: Option<&directory::Profile>) {
+    async fn wait_changed(&mut self, listed: Option<&directory::Profile>) {
         loop {
             // A closed channel means that the process ends.
             if self.local.changed().await.is_err() {
@@ -130,9 +130,9 @@
         own: Own,
         settings: &configs::member::Member,
     ) -> Self {
-        let (sender, found) = mpsc::channel(FOUND);
-        let pace = Pace {
-            again: time::Duration::from_millis(settings.seek_ms),
+        let (sender, found) = mpsc::channel(CHANNEL_CAPACITY);
+        let pace = Intervals {
+            refresh: time::Duration::from_millis(settings.seek_ms),
             retry: time::Duration::from_millis(settings.join_ms),
         };
         let fresh = settings.fresh;
@@ -155,19 +155,19 @@
 
 /// How often the directory is asked.
 #[derive(Clone, Copy)]
-struct Pace {
+struct Intervals {
     /// Time between two looks.
-    again: time::Duration,
+    refresh: time::Duration,
     /// Time before a failed request is tried again.
     retry: time::Duration,
 }
 
-impl Pace {
+impl Intervals {
     /// Wait after `failures` rounds in a row that did not succeed.
     fn wait(self, failures: u32) -> time::Duration {
         match failures.checked_sub(1) {
-            None => self.again,
-            Some(before) => (self.retry * (1 << before.min(MOST_DOUBLED))).min(self.again),
+            None => self.refresh,
+            Some(before) => (self.retry * (1 << before.min(MAX_DOUBLINGS))).min(self.refresh),
         }
     }
 }
@@ -184,11 +184,11 @@
 impl<D: directory::Directory> Seeker<D> {
     /// Looks at once and then now and then. In a mesh that starts for the first time nobody is listed
     /// yet, so that a host lists itself and gives the others time to do so.
-    async fn run(mut self, pace: Pace, fresh: bool) {
+    async fn run(mut self, pace: Intervals, fresh: bool) {
         if fresh {
-            self.own.announced().await;
-            self.enter().await;
-            tokio::time::sleep(TOGETHER).await;
+            self.own.wait_announced().await;
+            self.register().await;
+            tokio::time::sleep(SECOND_LOOK_DELAY).await;
         }
         let (host, mut applied) = (self.own.host, self.own.applied.clone());
         let mut epoch = applied.borrow().version_id.version.epoch();
@@ -198,7 +198,7 @@
         loop {
             let mut well = true;
             if due <= tokio::time::Instant::now() {
-                well = self.look().await;
+                well = self.look_up().await;
                 if self.found.is_closed() {
                     return;
                 }
@@ -206,17 +206,17 @@
             let stranger = self.listed.is_none() && !relists;
             relists = false;
             if stranger {
-                self.own.announced().await;
+                self.own.wait_announced().await;
             }
-            well &= self.enter().await;
+            well &= self.register().await;
             failures = if well { 0 } else { failures + 1 };
             // Two strangers that look before either is listed find each other with a second look.
-            let wait = if stranger && well { TOGETHER } else { pace.wait(failures) };
+            let wait = if stranger && well { SECOND_LOOK_DELAY } else { pace.wait(failures) };
             due = tokio::time::Instant::now() + wait;
             tokio::select! {
                 () = tokio::time::sleep_until(due) => {}
-                () = self.own.unlike(self.listed.as_ref()) => {}
-                later = Own::restored(&mut applied, host, epoch) => {
+                () = self.own.wait_changed(self.listed.as_ref()) => {}
+                later = Own::wait_restored(&mut applied, host, epoch) => {
                     epoch = later;
                     relists = self.listed.take().is_some();
                 }
@@ -225,7 +225,7 @@
     }
 
     /// Asks who is there; `false` when there is no answer.
-    async fn look(&mut self) -> bool {
+    async fn look_up(&mut self) -> bool {
         let hosts = match self.directory.hosts().await {
             Ok(hosts) => hosts,
             Err(error) => {
@@ -242,7 +242,7 @@
     }
 
     /// Lists this host unless the directory tells the same of it already; `false` when that failed.
-    async fn enter(&mut self) -> bool {
+    async fn register(&mut self) -> bool {
         let profile = self.own.profile();
         if self.listed.as_ref().is_some_and(|listed| listed.is_like(&profile)) {
             return true;
@@ -261,8 +261,11 @@
 }
 
 /// Strikes `host` off, as far as that succeeds in a short time.
-pub(in crate::member) async fn leave<D: directory::Directory>(directory: &D, host: host::HostId) {
-    match tokio::time::timeout(LEAVE, directory.deregister(host)).await {
+pub(in crate::member) async fn deregister<D: directory::Directory>(
+    directory: &D,
+    host: host::HostId,
+) {
+    match tokio::time::timeout(DEREGISTER_TIMEOUT, directory.deregister(host)).await {
         Ok(Ok(())) => {}
         Ok(Err(error)) => log::warn!(error:% = error; "this host stays listed"),
         Err(_) => log::warn!("this host stays listed: the directory did not answer in time"),
--- a/src/member/directory/search/tests.rs
+++ b/src/member/directory/search/tests.rs
@@ -17,8 +17,10 @@
 use crate::version;
 use crate::view;
 
-const PACE: search::Pace =
-    search::Pace { again: time::Duration::from_secs(10), retry: time::Duration::from_millis(200) };
+const PACE: search::Intervals = search::Intervals {
+    refresh: time::Duration::from_secs(10),
+    retry: time::Duration::from_millis(200),
+};
 
 #[rstest]
 #[case::looked(0, 10_000)]
--- a/src/member/gossip.rs
+++ b/src/member/gossip.rs
@@ -7,9 +7,9 @@
 use crate::clock;
 use crate::host;
 use crate::member;
-use crate::member::rumors;
 use crate::member::standing;
 use crate::member::table;
+use crate::member::updates;
 use crate::member::wire;
 use crate::view;
 
@@ -22,7 +22,7 @@
 /// Pieces of news above which each is sent few times only: the hosts that then miss one get it by
 /// repair, and a start of all hosts at once does not keep the queues full for minutes.
 const BACKLOG: usize = 64;
-const FEW: u32 = 3;
+const BACKLOG_SENDS: u32 = 3;
 
 /// Extra datagrams for urgent news.
 #[derive(Clone, Copy, Debug, Default)]
@@ -33,9 +33,9 @@
 
 /// By which way news came.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Way {
+pub enum Source {
     /// Passed on by a host that has them new.
-    Rumor,
+    Gossip,
     /// Found missing by a comparison of digests.
     Repair,
     /// Taken over while joining.
@@ -50,11 +50,11 @@
 }
 
 /// How pressing a change from one announcement to the next is.
-pub fn rank(old: Option<&view::Upstream>, new: Option<&view::Upstream>) -> rumors::Rank {
+pub fn priority(old: Option<&view::Upstream>, new: Option<&view::Upstream>) -> updates::Priority {
     let takes = |u: Option<&view::Upstream>| u.is_some_and(|u| u.phase != view::Phase::Draining);
     let bad = |u: Option<&view::Upstream>| u.is_some_and(|u| u.trial.rejected);
     let urgent = (takes(old) && !takes(new)) || (bad(new) && !bad(old));
-    if urgent { rumors::Rank::Urgent } else { rumors::Rank::Plain }
+    if urgent { updates::Priority::Urgent } else { updates::Priority::Plain }
 }
 
 impl member::Member {
@@ -63,13 +63,13 @@
         if datagram.from == self.id {
             return;
         }
-        self.hear(datagram.from);
+        self.record_contact(datagram.from);
         let way = match datagram.body {
-            wire::Body::Bucket { .. } => Way::Repair,
-            wire::Body::Page { .. } => Way::Page,
-            _ => Way::Rumor,
+            wire::Body::Bucket { .. } => Source::Repair,
+            wire::Body::Page { .. } => Source::Page,
+            _ => Source::Gossip,
         };
-        let stale = self.absorb(datagram, way);
+        let stale = self.merge_items(datagram, way);
         self.dispatch(datagram, stale);
     }
 
@@ -78,71 +78,78 @@
         match datagram.body {
             wire::Body::Ack { sequence, running } => {
                 self.acknowledged(from, sequence);
-                self.compare(from, running);
+                self.compare_running(from, running);
             }
-            wire::Body::Answered { sequence, target } => self.vouched(target, sequence),
-            wire::Body::Ask { sequence, target } => self.help(from, sequence, target),
+            wire::Body::IndirectAck { sequence, target } => self.indirectly_acked(target, sequence),
+            wire::Body::PingRequest { sequence, target } => self.relay_ping(from, sequence, target),
             wire::Body::Bucket { prefix, reply } => {
                 self.answer_bucket(datagram, prefix, reply, &stale);
             }
-            wire::Body::Busy { instead } => self.refused(from, instead),
-            wire::Body::Digest { prefix, children } => self.descend(from, prefix, &children),
+            wire::Body::Busy { instead } => self.page_refused(from, instead),
+            wire::Body::Digest { prefix, children } => {
+                self.compare_digests(from, prefix, &children)
+            }
             wire::Body::Gossip => {}
-            wire::Body::Page { next, settled } => self.turn_page(from, next, settled),
+            wire::Body::Page { next, settled } => self.receive_page(from, next, settled),
             wire::Body::Ping { sequence, running } => {
                 let running_here = self.running_here();
                 self.send(from, wire::Body::Ack { sequence, running: running_here });
-                self.compare(from, running);
+                self.compare_running(from, running);
             }
-            wire::Body::Pull { cursor } => self.give_page(from, cursor),
+            wire::Body::Pull { cursor } => self.send_page(from, cursor),
         }
     }
 
     /// Merges the items of a datagram; gives the hosts whose record was older than a death
     /// known here.
-    fn absorb(&mut self, datagram: &wire::Datagram, way: Way) -> Vec<host::HostId> {
+    fn merge_items(&mut self, datagram: &wire::Datagram, way: Source) -> Vec<host::HostId> {
         let mut stale = Vec::new();
         for item in &datagram.items {
             match item {
                 wire::Item::Claim { host, incarnation, claim } => {
-                    self.absorb_claim(*host, *incarnation, *claim, way);
+                    self.merge_claim(*host, *incarnation, *claim, way);
                 }
-                wire::Item::Dark { zone } => self.doubt_zone(&datagram.name(*zone)),
+                wire::Item::Unreachable { zone } => self.check_reported_zone(&datagram.name(*zone)),
                 wire::Item::Record(record) => {
-                    if !self.absorb_record(datagram, record, way) {
+                    if !self.merge_record(datagram, record, way) {
                         stale.push(record.host);
                     }
                 }
-                wire::Item::Crash(end) => self.absorb_end(end),
-                wire::Item::Quarantine(ban) => self.absorb_ban(ban, way),
+                wire::Item::Crash(end) => self.merge_crash(end),
+                wire::Item::Quarantine(ban) => self.merge_entry(ban, way),
                 wire::Item::Quarantines { digest, reply } => {
-                    self.compare_bans(datagram.from, *digest, *reply);
+                    self.compare_quarantine(datagram.from, *digest, *reply);
                 }
             }
         }
         stale
     }
 
-    fn absorb_claim(&mut self, id: host::HostId, incarnation: u64, claim: wire::Claim, way: Way) {
+    fn merge_claim(&mut self, id: host::HostId, incarnation: u64, claim: wire::Claim, way: Source) {
         if id == self.id {
-            self.accused(incarnation, claim);
+            self.refute(incarnation, claim);
             return;
         }
         let zone = self.table.get(id).map(|e| e.record.locality.zone.clone());
-        let dark = zone.is_some_and(|z| self.zones.is_dark(&z));
+        let dark = zone.is_some_and(|z| self.zones.is_unreachable(&z));
         if dark && claim == wire::Claim::Suspect {
             return;
         }
         let change = self.table.claim(id, incarnation, claim, self.now);
-        self.follow(id, change, rumors::Rank::Plain, way);
+        self.apply_change(id, change, updates::Priority::Plain, way);
     }
 
     /// Merges a record; `false` when the host is known to be gone in that incarnation.
-    fn absorb_record(&mut self, datagram: &wire::Datagram, found: &wire::Record, way: Way) -> bool {
+    fn merge_record(
+        &mut self,
+        datagram: &wire::Datagram,
+        found: &wire::Record,
+        way: Source,
+    ) -> bool {
         let account = (found.incarnation, found.serial);
         if found.host == self.id {
-            if account > self.own() {
-                self.outlive(found.incarnation);
+            if account > self.own_version() {
+                self.raise_incarnation(found.incarnation);
             }
             return true;
         }
@@ -152,83 +159,94 @@
         }
         let record = read(datagram, found);
         let old = known.and_then(|e| e.record.upstream.clone());
-        let rank = rank(old.as_deref(), record.upstream.as_deref());
+        let rank = priority(old.as_deref(), record.upstream.as_deref());
         let change = self.table.merge(found.host, record, self.now);
-        self.follow(found.host, change, rank, way);
+        self.apply_change(found.host, change, rank, way);
         true
     }
 
     /// Others hold a claim against this host.
-    fn accused(&mut self, incarnation: u64, claim: wire::Claim) {
-        if incarnation < self.own().0 {
+    fn refute(&mut self, incarnation: u64, claim: wire::Claim) {
+        if incarnation < self.own_version().0 {
             return;
         }
         log::warn!(claim:?, incarnation; "claimed by others, taking a new incarnation");
-        self.outlive(incarnation);
+        self.raise_incarnation(incarnation);
         if claim != wire::Claim::Suspect {
             self.change_standing(standing::Event::Declared { proof: self.sequence + 1 });
-            self.prove();
+            self.confirm_standing();
         }
     }
 
     /// Does what a change of the table asks for.
-    pub(super) fn follow(
+    pub(super) fn apply_change(
         &mut self,
         id: host::HostId,
         change: table::Change,
-        rank: rumors::Rank,
-        way: Way,
+        rank: updates::Priority,
+        way: Source,
     ) {
-        if change == table::Change::Same {
+        if change == table::Change::Unchanged {
             return;
         }
         self.changed = self.now;
         self.dirty = true;
         match change {
-            table::Change::Claimed(claim) => self.follow_claim(id, claim, way),
-            table::Change::Renewed(Some(_)) => self.follow_record(id, rumors::Rank::Urgent, way),
-            _ => self.follow_record(id, rank, way),
+            table::Change::Claimed(claim) => self.apply_claim(id, claim, way),
+            table::Change::Renewed(Some(_)) => {
+                self.apply_record(id, updates::Priority::Urgent, way)
+            }
+            _ => self.apply_record(id, rank, way),
         }
     }
 
-    fn follow_record(&mut self, id: host::HostId, rank: rumors::Rank, way: Way) {
+    fn apply_record(&mut self, id: host::HostId, rank: updates::Priority, way: Source) {
         let present = self.table.get(id).is_some_and(table::Entry::is_present);
         if present && !self.peers.contains(&id) {
             self.peers.push(id);
         }
         if self.table.get(id).is_some_and(|e| e.claim.is_none()) {
             self.detect.clear(id);
-            self.rumors.remove(&rumors::Topic::Claim(id));
+            self.updates.remove(&updates::Topic::Claim(id));
         }
         match way {
-            Way::Rumor => self.spread(rumors::Topic::Record(id), rank, 0),
-            Way::Repair => {
+            Source::Gossip => self.queue_update(updates::Topic::Record(id), rank, 0),
+            Source::Repair => {
                 let half = self.limits().plain / 2;
-                self.spread(rumors::Topic::Record(id), rumors::Rank::Plain, half);
+                self.queue_update(updates::Topic::Record(id), updates::Priority::Plain, half);
             }
-            Way::Page => {}
+            Source::Page => {}
         }
     }
 
-    fn follow_claim(&mut self, id: host::HostId, claim: wire::Claim, way: Way) {
-        let topic = rumors::Topic::Claim(id);
+    fn apply_claim(&mut self, id: host::HostId, claim: wire::Claim, way: Source) {
+        let topic = updates::Topic::Claim(id);
         if claim == wire::Claim::Suspect {
-            self.detect.suspect(id, self.now + self.patience());
-            self.spread(topic, rumors::Rank::Soon, 0);
+            self.detect.suspect(id, self.now + self.suspicion_timeout());
+            self.queue_update(topic, updates::Priority::Soon, 0);
             return;
         }
         self.detect.clear(id);
         self.peers.retain(|&p| p != id);
-        self.rumors.remove(&rumors::Topic::Record(id));
-        let rank = if way == Way::Rumor { rumors::Rank::Urgent } else { rumors::Rank::Plain };
-        self.spread(topic, rank, 0);
+        self.updates.remove(&updates::Topic::Record(id));
+        let rank = if way == Source::Gossip {
+            updates::Priority::Urgent
+        } else {
+            updates::Priority::Plain
+        };
+        self.queue_update(topic, rank, 0);
     }
 
     /// Queues news that were sent `sent` times already.
-    pub(super) fn spread(&mut self, topic: rumors::Topic, rank: rumors::Rank, sent: u32) {
-        self.rumors.add(topic, rank, sent);
-        if rank == rumors::Rank::Urgent {
-            self.burst.left = self.fan();
+    pub(super) fn queue_update(
+        &mut self,
+        topic: updates::Topic,
+        rank: updates::Priority,
+        sent: u32,
+    ) {
+        self.updates.add(topic, rank, sent);
+        if rank == updates::Priority::Urgent {
+            self.burst.left = self.fanout();
             self.burst.next = Some(self.burst.next.unwrap_or(self.now));
         }
     }
@@ -240,13 +258,13 @@
         }
         for to in self.sample(WAVE.min(self.burst.left as usize), self.id) {
             let mut packer = wire::Packer::new(self.id, wire::Body::Gossip);
-            self.pack(&mut packer, rumors::Rank::Urgent);
+            self.pack(&mut packer, updates::Priority::Urgent);
             if !packer.is_empty() {
                 self.out.push(member::Action::Send { to, datagram: packer.finish() });
             }
         }
         self.burst.left = self.burst.left.saturating_sub(WAVE as u32);
-        let more = self.burst.left > 0 && self.rumors.has_urgent();
+        let more = self.burst.left > 0 && self.updates.has_urgent();
         let gap = self.jittered(WAVE_GAP);
         self.burst.next = more.then(|| self.now + gap);
     }
@@ -259,45 +277,47 @@
             packer.claim(to, entry.record.incarnation, claim);
         }
         let probe = matches!(packer.body(), wire::Body::Ack { .. } | wire::Body::Ping { .. });
-        if probe && let Some(bans) = self.quarantine.bans() {
+        if probe && let Some(bans) = self.quarantine.digest_item() {
             packer.item(bans);
         }
-        self.pack(&mut packer, rumors::Rank::Plain);
+        self.pack(&mut packer, updates::Priority::Plain);
         self.out.push(member::Action::Send { to, datagram: packer.finish() });
     }
 
-    fn pack(&mut self, packer: &mut wire::Packer, rank: rumors::Rank) {
+    fn pack(&mut self, packer: &mut wire::Packer, rank: updates::Priority) {
         let limits = self.limits();
         let (table, zones, ends) = (&self.table, &self.zones, &self.quarantine);
         let now = self.now;
-        self.rumors.take(rank, limits, |topic| {
+        self.updates.offer(rank, limits, |topic| {
             let fitted = match topic {
-                rumors::Topic::Claim(id) => put_claim(packer, table, *id),
-                rumors::Topic::Dark(zone) => zones.is_dark(zone).then(|| packer.dark(zone)),
-                rumors::Topic::Record(id) => put_record(packer, table, *id),
-                rumors::Topic::Crash(id) => ends.crash(*id, now).map(|end| packer.item(end)),
-                rumors::Topic::Quarantine(print) => {
+                updates::Topic::Claim(id) => put_claim(packer, table, *id),
+                updates::Topic::Unreachable(zone) => {
+                    zones.is_unreachable(zone).then(|| packer.dark(zone))
+                }
+                updates::Topic::Record(id) => put_record(packer, table, *id),
+                updates::Topic::Crash(id) => ends.crash(*id, now).map(|end| packer.item(end)),
+                updates::Topic::Quarantine(print) => {
                     ends.entry(*print, now).map(|ban| packer.item(ban))
                 }
             };
             match fitted {
-                Some(true) => rumors::Fit::Packed,
-                Some(false) => rumors::Fit::Full,
-                None => rumors::Fit::Gone,
+                Some(true) => updates::Fit::Packed,
+                Some(false) => updates::Fit::Full,
+                None => updates::Fit::Gone,
             }
         });
     }
 
     /// Times each piece of news is sent from here.
-    pub(super) fn limits(&self) -> rumors::Limits {
+    pub(super) fn limits(&self) -> updates::Limits {
         let doublings = usize::BITS - self.table.present().leading_zeros();
-        let most = if self.rumors.count() > BACKLOG { FEW } else { u32::MAX };
+        let most = if self.updates.count() > BACKLOG { BACKLOG_SENDS } else { u32::MAX };
         let plain = (u32::from(self.settings.retransmit) * doublings.max(1)).min(most);
-        rumors::Limits { urgent: plain + self.fan(), plain }
+        updates::Limits { urgent: plain + self.fanout(), plain }
     }
 
     /// Extra datagrams for urgent news: enough that hardly any host is missed.
-    pub(super) fn fan(&self) -> u32 {
+    pub(super) fn fanout(&self) -> u32 {
         let hosts = self.table.present() as f64;
         hosts.ln().ceil() as u32 + u32::from(self.settings.urgent)
     }
--- a/src/member/mod.rs
+++ b/src/member/mod.rs
@@ -27,10 +27,10 @@
 mod probe;
 mod quarantined;
 mod repair;
-mod rumors;
 pub mod shell;
 mod standing;
 mod table;
+mod updates;
 pub mod wire;
 mod zones;
 
@@ -41,7 +41,7 @@
 pub const HASH_BYTES: usize = 4;
 
 /// Time between two looks for hosts to forget.
-const FORGET: time::Duration = time::Duration::from_secs(10);
+const CLEANUP_INTERVAL: time::Duration = time::Duration::from_secs(10);
 
 /// A peer runs a configuration that differs from ours: newer, older or another.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -118,7 +118,7 @@
     changed: clock::Instant,
     /// Present hosts but this one, in no order.
     peers: Vec<host::HostId>,
-    rumors: rumors::Rumors,
+    updates: updates::Queue,
     burst: gossip::Burst,
     prober: probe::Prober,
     zones: zones::Zones,
@@ -152,7 +152,7 @@
             table: table::Table::default(),
             changed: now,
             peers: Vec::new(),
-            rumors: rumors::Rumors::default(),
+            updates: updates::Queue::default(),
             burst: gossip::Burst::default(),
             prober: probe::Prober::default(),
             zones: zones::Zones::default(),
@@ -165,8 +165,8 @@
             dirty: true,
             out: Vec::new(),
         };
-        member.announce((incarnation, 1), rumors::Rank::Plain);
-        member.start();
+        member.announce((incarnation, 1), updates::Priority::Plain);
+        member.start_timers();
         member
     }
 
@@ -183,7 +183,8 @@
     /// When the member wants a [`Event::Tick`] at the latest.
     pub fn wake(&self) -> clock::Instant {
         let mut wake = self.prober.wake().min(self.detect.wake());
-        let others = [self.zones.wake(), self.burst.wake(), self.join.wake(), self.join.doubt()];
+        let others =
+            [self.zones.wake(), self.burst.wake(), self.join.wake(), self.join.unconfirmed_at()];
         for other in others {
             wake = other.map_or(wake, |w| w.min(wake));
         }
@@ -215,10 +216,10 @@
     }
 
     fn host(&self, id: host::HostId, entry: &table::Entry) -> view::Host {
-        let dark = self.zones.is_dark(&entry.record.locality.zone) && id != self.id;
+        let dark = self.zones.is_unreachable(&entry.record.locality.zone) && id != self.id;
         let health = match entry.claim {
             _ if dark => view::Health::Unreachable,
-            None if self.doubts(entry) => view::Health::Suspect,
+            None if self.is_unconfirmed(entry) => view::Health::Suspect,
             None => view::Health::Alive,
             Some(wire::Claim::Suspect) => view::Health::Suspect,
             Some(wire::Claim::Dead | wire::Claim::Left) => view::Health::Unreachable,
@@ -245,7 +246,7 @@
                 self.stage = stage;
                 self.update();
             }
-            Event::Listed(hosts) => self.listed(hosts),
+            Event::Listed(hosts) => self.merge_listed(hosts),
             Event::Report(report) => self.report(report),
             Event::Tick => {}
         }
@@ -253,7 +254,7 @@
 
     fn run_timers(&mut self) {
         self.run_join();
-        self.run_doubt();
+        self.run_unconfirmed();
         self.run_probes();
         self.run_detection();
         self.run_burst();
@@ -267,7 +268,7 @@
         if gap > time::Duration::from_millis(self.settings.pause_ms).max(2 * probe) {
             self.forgive(gap);
             self.change_standing(standing::Event::Paused { proof: self.sequence + 1 });
-            self.prove();
+            self.confirm_standing();
         }
     }
 
@@ -279,7 +280,7 @@
     }
 
     /// Incarnation and serial of this host's own record.
-    fn own(&self) -> (u64, u32) {
+    fn own_version(&self) -> (u64, u32) {
         let own = self.table.get(self.id);
         own.map(|e| (e.record.incarnation, e.record.serial)).unwrap_or_default()
     }
@@ -297,17 +298,17 @@
     }
 
     /// Replaces this host's own record and spreads it.
-    fn announce(&mut self, (incarnation, serial): (u64, u32), rank: rumors::Rank) {
+    fn announce(&mut self, (incarnation, serial): (u64, u32), rank: updates::Priority) {
         let place = Arc::clone(&self.locality);
         let record =
             table::Record { incarnation, serial, locality: place, upstream: self.upstream() };
-        if self.table.merge(self.id, record, self.now) == table::Change::Same {
+        if self.table.merge(self.id, record, self.now) == table::Change::Unchanged {
             // The highest incarnation can't be outlived.
             return;
         }
         self.changed = self.now;
         self.dirty = true;
-        self.spread(rumors::Topic::Record(self.id), rank, 0);
+        self.queue_update(updates::Topic::Record(self.id), rank, 0);
     }
 
     /// Spreads this host's own record if its upstream is another than it says.
@@ -315,21 +316,24 @@
         let old = self.table.get(self.id).and_then(|e| e.record.upstream.clone());
         let new = self.upstream();
         if old != new {
-            let (incarnation, serial) = self.own();
-            self.announce((incarnation, serial + 1), gossip::rank(old.as_deref(), new.as_deref()));
+            let (incarnation, serial) = self.own_version();
+            self.announce(
+                (incarnation, serial + 1),
+                gossip::priority(old.as_deref(), new.as_deref()),
+            );
         }
     }
 
     /// Begins a life above `incarnation`, which others hold against this host.
-    fn outlive(&mut self, incarnation: u64) {
-        self.announce((incarnation.saturating_add(1), 1), rumors::Rank::Urgent);
+    fn raise_incarnation(&mut self, incarnation: u64) {
+        self.announce((incarnation.saturating_add(1), 1), updates::Priority::Urgent);
     }
 
     /// Tells a few hosts that this one is gone for good.
     fn leave(&mut self) {
         self.stage = node::Stage::End;
-        let (incarnation, _) = self.own();
-        for to in self.sample(self.fan() as usize, self.id) {
+        let (incarnation, _) = self.own_version();
+        for to in self.sample(self.fanout() as usize, self.id) {
             let mut packer = wire::Packer::new(self.id, wire::Body::Gossip);
             packer.claim(self.id, incarnation, wire::Claim::Left);
             self.out.push(Action::Send { to, datagram: packer.finish() });
--- a/src/member/probe.rs
+++ b/src/member/probe.rs
@@ -64,7 +64,7 @@
 }
 
 /// Most relays remembered at once; older ones are dropped.
-const RELAYS: usize = 64;
+const MAX_RELAYS: usize = 64;
 
 impl Prober {
     /// When something is due next.
@@ -112,7 +112,7 @@
     }
 
     /// Notes that `target` was pinged with `sequence` at `now`; helpers are asked at `ask`.
-    pub fn sent(
+    pub fn record_ping(
         &mut self,
         target: host::HostId,
         sequence: u32,
@@ -129,18 +129,18 @@
     }
 
     /// Notes an answer of `target` to the ping or question `sequence`.
-    pub fn answered(&mut self, target: host::HostId, sequence: u32) {
+    pub fn record_answer(&mut self, target: host::HostId, sequence: u32) {
         self.probe.take_if(|p| p.target == target && sequence >= p.first);
     }
 
     /// Remembers a ping with `sequence` made for another host.
-    pub fn relay(&mut self, sequence: u32, relay: Relay) {
-        self.relays.truncate(RELAYS - 1);
+    pub fn add_relay(&mut self, sequence: u32, relay: Relay) {
+        self.relays.truncate(MAX_RELAYS - 1);
         self.relays.push_front((sequence, relay));
     }
 
     /// The relay whose ping `sequence` was answered by `target`.
-    pub fn relayed(&mut self, target: host::HostId, sequence: u32) -> Option<Relay> {
+    pub fn take_relay(&mut self, target: host::HostId, sequence: u32) -> Option<Relay> {
         let mut relays = self.relays.iter();
         let index = relays.position(|(s, r)| *s == sequence && r.target == target)?;
         self.relays.remove(index).map(|(_, relay)| relay)
--- a/src/member/quarantined.rs
+++ b/src/member/quarantined.rs
@@ -8,7 +8,7 @@
 use crate::host;
 use crate::member;
 use crate::member::gossip;
-use crate::member::rumors;
+use crate::member::updates;
 use crate::member::wire;
 use crate::quarantine;
 
@@ -46,7 +46,7 @@
     }
 
     /// The digest of what is held of all requests; `None` when there is nothing to compare.
-    pub fn bans(&self) -> Option<wire::Item> {
+    pub fn digest_item(&self) -> Option<wire::Item> {
         let digest = self.table.digest();
         let held = digest != quarantine::Digest::default();
         held.then_some(wire::Item::Quarantines { digest, reply: true })
@@ -67,7 +67,7 @@
     }
 
     /// The end of the upstream beside this host, at which `prints` ran.
-    fn own_end(
+    fn own_crash(
         &mut self,
         mut prints: Vec<quarantine::Fingerprint>,
         now: clock::Instant,
@@ -98,39 +98,39 @@
     pub(super) fn report(&mut self, report: quarantine::Report) {
         match report {
             quarantine::Report::Crashed(prints) => {
-                let end = self.quarantine.own_end(prints, self.now);
-                self.note_end(end);
+                let end = self.quarantine.own_crash(prints, self.now);
+                self.record_crash(end);
             }
-            quarantine::Report::Answered(print) => self.note_answer(print),
+            quarantine::Report::Answered(print) => self.record_answer(print),
         }
     }
 
-    fn note_answer(&mut self, print: quarantine::Fingerprint) {
+    fn record_answer(&mut self, print: quarantine::Fingerprint) {
         let ends = self.quarantine.table.clear(print, self.now);
         self.quarantine.changed |= ends > 0;
         // One end proves nothing anywhere: its excuse would only be traffic.
         if ends >= quarantine::SUSPICION_THRESHOLD {
-            self.spread(rumors::Topic::Quarantine(print), rumors::Rank::Urgent, 0);
+            self.queue_update(updates::Topic::Quarantine(print), updates::Priority::Urgent, 0);
         }
     }
 
-    fn note_end(&mut self, end: quarantine::Crash) {
+    fn record_crash(&mut self, end: quarantine::Crash) {
         let id = end.id;
         if self.quarantine.table.note(end, self.now) {
             self.quarantine.changed = true;
-            self.spread(rumors::Topic::Crash(id), rumors::Rank::Urgent, 0);
+            self.queue_update(updates::Topic::Crash(id), updates::Priority::Urgent, 0);
         }
     }
 
     /// Takes in the end of another host's upstream.
-    pub(super) fn absorb_end(&mut self, end: &wire::Crash) {
+    pub(super) fn merge_crash(&mut self, end: &wire::Crash) {
         let at = before(self.now, end.age_ms);
         let prints = end.fingerprints.as_slice().into();
-        self.note_end(quarantine::Crash { id: end.id, at, fingerprints: prints });
+        self.record_crash(quarantine::Crash { id: end.id, at, fingerprints: prints });
     }
 
     /// Takes in what another host holds of a request.
-    pub(super) fn absorb_ban(&mut self, ban: &wire::QuarantineEntry, way: gossip::Way) {
+    pub(super) fn merge_entry(&mut self, ban: &wire::QuarantineEntry, way: gossip::Source) {
         let last = before(self.now, ban.age_ms);
         let held = quarantine::Entry { crashes: ban.crashes, lifted: ban.lifted, last };
         if !self.quarantine.table.merge(ban.fingerprint, held, self.now) {
@@ -138,13 +138,17 @@
         }
         self.quarantine.changed = true;
         // Ends are news of their own, and every host finds out itself what follows from them.
-        if ban.lifted && way == gossip::Way::Rumor {
-            self.spread(rumors::Topic::Quarantine(ban.fingerprint), rumors::Rank::Urgent, 0);
+        if ban.lifted && way == gossip::Source::Gossip {
+            self.queue_update(
+                updates::Topic::Quarantine(ban.fingerprint),
+                updates::Priority::Urgent,
+                0,
+            );
         }
     }
 
     /// `from` holds what `digest` stands for; tells it what is held here where that differs.
-    pub(super) fn compare_bans(
+    pub(super) fn compare_quarantine(
         &mut self,
         from: host::HostId,
         digest: quarantine::Digest,
--- a/src/member/repair.rs
+++ b/src/member/repair.rs
@@ -1,4 +1,4 @@
-//! Finding and mending what rumors missed, by digests of ranges of the table.
+//! Finding and mending what updates missed, by digests of ranges of the table.
 //!
 //! Every probe carries the digest of all records. When it differs for a while, the digests of
 //! sixteen ranges are sent; a host that sees a difference answers with the digests of a range's
@@ -16,20 +16,20 @@
 use crate::member::wire;
 
 /// Hosts in a range whose records are sent rather than its digests.
-const SMALL: usize = 12;
+const MAX_BUCKET_HOSTS: usize = 12;
 
 /// Longest prefix that is split further.
-const MOST_BITS: u8 = 24;
+const MAX_SPLIT_BITS: u8 = 24;
 
 /// Differing parts followed at once at the top, and below it.
-const TOP_PARTS: usize = 4;
-const LOWER_PARTS: usize = 2;
+const MAX_TOP_PARTS: usize = 4;
+const MAX_LOWER_PARTS: usize = 2;
 
 /// Probe periods the table must be unchanged before a difference is taken seriously.
-const SETTLE: u32 = 3;
+const SETTLED_PROBES: u32 = 3;
 
 /// Repair periods after which a difference is followed although the table still changes.
-const OVERDUE: u32 = 4;
+const OVERDUE_REPAIRS: u32 = 4;
 
 /// When the last repair was begun from here.
 #[derive(Clone, Copy, Debug, Default)]
@@ -46,7 +46,7 @@
     }
 
     /// Compares what `from` runs and knows with what this host does.
-    pub(super) fn compare(&mut self, from: host::HostId, running: wire::Running) {
+    pub(super) fn compare_running(&mut self, from: host::HostId, running: wire::Running) {
         let own = self.running_here();
         let wire::Running { version, hash, root } = running;
         if (version, hash) != (own.version, own.hash) {
@@ -62,9 +62,9 @@
     fn may_repair(&mut self) -> bool {
         let period = self.jittered(detect::millis(self.settings.repair_ms));
         let since = self.now.since(self.repair.last);
-        let settle = detect::millis(self.settings.probe_ms) * SETTLE;
+        let settle = detect::millis(self.settings.probe_ms) * SETTLED_PROBES;
         let settled = self.now.since(self.changed) >= settle;
-        self.join.is_done() && since >= period && (settled || since >= period * OVERDUE)
+        self.join.is_done() && since >= period && (settled || since >= period * OVERDUE_REPAIRS)
     }
 
     pub(super) fn send_digest(&mut self, to: host::HostId, prefix: wire::Prefix) {
@@ -73,13 +73,13 @@
     }
 
     /// Follows some of the parts of a range that differ here.
-    pub(super) fn descend(
+    pub(super) fn compare_digests(
         &mut self,
         from: host::HostId,
         prefix: wire::Prefix,
         children: &[[u8; 4]; wire::FANOUT],
     ) {
-        if prefix.bits > MOST_BITS {
+        if prefix.bits > MAX_SPLIT_BITS {
             return;
         }
         let own = self.table.digests(prefix);
@@ -87,11 +87,11 @@
         let differing = pairs.filter(|((_, (digest, _)), theirs)| digest != *theirs);
         let mut parts: Vec<_> = differing.map(|((i, (_, count)), _)| (i, count)).collect();
         parts.shuffle(&mut self.rng);
-        parts.truncate(if prefix.bits == 0 { TOP_PARTS } else { LOWER_PARTS });
+        parts.truncate(if prefix.bits == 0 { MAX_TOP_PARTS } else { MAX_LOWER_PARTS });
         for (part, count) in parts {
             let index = prefix.index * wire::FANOUT as u32 + part;
             let below = wire::Prefix { bits: prefix.bits + 4, index };
-            if count <= SMALL || below.bits > MOST_BITS {
+            if count <= MAX_BUCKET_HOSTS || below.bits > MAX_SPLIT_BITS {
                 self.send_bucket(from, below);
             } else {
                 self.send_digest(from, below);
--- a/src/member/shell.rs
+++ b/src/member/shell.rs
@@ -28,7 +28,7 @@
 
 /// Least time between two views; changes in between are published together. A change of this
 /// host's standing is published at once.
-const PUBLISH: std::time::Duration = std::time::Duration::from_millis(20);
+const PUBLISH_INTERVAL: std::time::Duration = std::time::Duration::from_millis(20);
 
 /// What joins the membership duty to the others.
 #[derive(Debug)]
@@ -91,7 +91,7 @@
     };
     duty.run().await;
     if !serves(&local) {
-        search::leave(&directory, host).await;
+        search::deregister(&directory, host).await;
     }
     Ok(())
 }
@@ -151,7 +151,7 @@
     /// When to wake at the latest.
     fn wake(&self) -> clock::Instant {
         let wake = self.member.wake();
-        let due = self.published + PUBLISH;
+        let due = self.published + PUBLISH_INTERVAL;
         if self.member.has_changed() { wake.min(due) } else { wake }
     }
 
@@ -189,7 +189,7 @@
                 .snapshot
                 .send_replace(Arc::new(self.member.quarantine_snapshot()));
         }
-        let due = self.ctx.now().since(self.published) >= PUBLISH;
+        let due = self.ctx.now().since(self.published) >= PUBLISH_INTERVAL;
         let turned = self.member.standing() != standing;
         if turned || (due && self.member.has_changed()) {
             self.publish();
--- a/src/member/standing.rs
+++ b/src/member/standing.rs
@@ -28,12 +28,12 @@
 
 /// The machine's shared storage.
 #[derive(Debug, Default)]
-pub struct Life {
+pub struct Machine {
     proof: u32,
 }
 
 #[state_machine(initial = "State::joining()", state(derive(Clone, Copy, Debug, Eq, PartialEq)))]
-impl Life {
+impl Machine {
     #[state]
     fn joining(event: &Event) -> Outcome<State> {
         match event {
@@ -81,12 +81,12 @@
 
 /// The standing of this process.
 pub struct Standing {
-    inner: statig::blocking::StateMachine<Life>,
+    inner: statig::blocking::StateMachine<Machine>,
 }
 
 impl Default for Standing {
     fn default() -> Self {
-        Self { inner: Life::default().state_machine() }
+        Self { inner: Machine::default().state_machine() }
     }
 }
 
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
     /// Nothing: the account was not newer.
-    Same,
+    Unchanged,
     /// A host that was not known.
     Joined,
     /// A new incarnation; the claim was this one before.
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     entries: collections::BTreeMap<Key, Entry>,
-    places: collections::BTreeSet<Arc<view::Locality>>,
+    localities: collections::BTreeSet<Arc<view::Locality>>,
     root: u32,
     gone: usize,
 }
@@ -112,7 +112,7 @@
     }
 
     /// The present hosts whose hash is at least `cursor`, in the order of their hashes.
-    pub fn from(&self, cursor: u32) -> impl Iterator<Item = (u32, host::HostId, &Entry)> {
+    pub fn starting_at(&self, cursor: u32) -> impl Iterator<Item = (u32, host::HostId, &Entry)> {
         let range = (ops::Bound::Included(lowest(cursor)), ops::Bound::Unbounded);
         let entries = self.entries.range(range);
         entries.filter(|(_, e)| e.is_present()).map(|(k, e)| (k.hash, k.id, e))
@@ -121,7 +121,7 @@
     /// The present hosts of a range.
     pub fn within(&self, prefix: wire::Prefix) -> impl Iterator<Item = (host::HostId, &Entry)> {
         let (low, high) = bounds(prefix);
-        self.from(low).take_while(move |(hash, ..)| *hash <= high).map(|(_, id, e)| (id, e))
+        self.starting_at(low).take_while(move |(hash, ..)| *hash <= high).map(|(_, id, e)| (id, e))
     }
 
     /// Digest of all present hosts' records.
@@ -134,7 +134,7 @@
         let mut parts = [(0u32, 0usize); wire::FANOUT];
         let (low, high) = bounds(prefix);
         let shift = 28 - u32::from(prefix.bits);
-        for (hash, id, entry) in self.from(low).take_while(|(hash, ..)| *hash <= high) {
+        for (hash, id, entry) in self.starting_at(low).take_while(|(hash, ..)| *hash <= high) {
             let part = &mut parts[(hash >> shift) as usize % wire::FANOUT];
             part.0 ^= digest(Key { hash, id }, entry);
             part.1 += 1;
@@ -164,7 +164,7 @@
             next.record = record;
             Change::Updated
         } else {
-            return Change::Same;
+            return Change::Unchanged;
         };
         self.put(key, next);
         change
@@ -179,13 +179,13 @@
         now: clock::Instant,
     ) -> Change {
         let key = Key::of(id);
-        let Some(entry) = self.entries.get(&key) else { return Change::Same };
+        let Some(entry) = self.entries.get(&key) else { return Change::Unchanged };
         let mut next = entry.clone();
         if incarnation > next.record.incarnation {
             next.record.incarnation = incarnation;
             next.record.serial = 0;
         } else if incarnation < next.record.incarnation || next.claim >= Some(claim) {
-            return Change::Same;
+            return Change::Unchanged;
         }
         next.claim = Some(claim);
         next.since = now;
@@ -216,10 +216,10 @@
     }
 
     fn intern(&mut self, place: Arc<view::Locality>) -> Arc<view::Locality> {
-        if let Some(known) = self.places.get(&place) {
+        if let Some(known) = self.localities.get(&place) {
             return Arc::clone(known);
         }
-        self.places.insert(Arc::clone(&place));
+        self.localities.insert(Arc::clone(&place));
         place
     }
 }
--- a/src/member/tests/mod.rs
+++ b/src/member/tests/mod.rs
@@ -1,6 +1,6 @@
 //! Tests of the parts of the membership decision.
 
-mod rumors;
 mod table;
+mod updates;
 mod wire;
 mod zones;
--- a/src/member/tests/wire.rs
+++ b/src/member/tests/wire.rs
@@ -39,7 +39,7 @@
 #[case::no_port(claim(0), Some(wire::Error::Port))]
 #[case::good_name(record(0), None)]
 #[case::no_such_name(record(1), Some(wire::Error::Name))]
-#[case::no_such_zone(wire::Item::Dark { zone: 1 }, Some(wire::Error::Name))]
+#[case::no_such_zone(wire::Item::Unreachable { zone: 1 }, Some(wire::Error::Name))]
 fn items_are_checked(#[case] item: wire::Item, #[case] error: Option<wire::Error>) {
     let bytes = wire::encode(&datagram(wire::Body::Gossip, vec![item])).unwrap();
     assert_eq!(wire::decode(&bytes).err(), error);
--- a/src/member/tests/zones.rs
+++ b/src/member/tests/zones.rs
@@ -27,10 +27,13 @@
     assert_eq!(zones.expire(ROUND, at(499)), []);
     assert_eq!(zones.expire(ROUND, at(500)), [(zone.clone(), zones::Verdict::Again)]);
     assert_eq!(zones.wake(), Some(at(1000)));
-    assert_eq!(zones.expire(ROUND, at(1000)), [(zone.clone(), zones::Verdict::Dark)]);
-    assert!(zones.is_dark(&zone));
-    assert_eq!(zones.hear(&zone, at(1100)), zones::Lift { dark: true, suspects: Vec::new() });
-    assert!(!zones.is_dark(&zone));
+    assert_eq!(zones.expire(ROUND, at(1000)), [(zone.clone(), zones::Verdict::Unreachable)]);
+    assert!(zones.is_unreachable(&zone));
+    assert_eq!(
+        zones.record_contact(&zone, at(1100)),
+        zones::Contact { dark: true, suspects: Vec::new() }
+    );
+    assert!(!zones.is_unreachable(&zone));
 }
 
 #[rstest]
@@ -38,8 +41,11 @@
     let zone = SmolStr::new("zone");
     let mut zones = zones::Zones::default();
     zones.check(&zone, Some(host()), at(500));
-    assert_eq!(zones.hear(&zone, at(10)), zones::Lift { dark: false, suspects: vec![host()] });
+    assert_eq!(
+        zones.record_contact(&zone, at(10)),
+        zones::Contact { dark: false, suspects: vec![host()] }
+    );
     assert_eq!(zones.expire(ROUND, at(2000)), []);
-    assert!(zones.heard_since(&zone, at(10)));
-    assert!(!zones.heard_since(&zone, at(11)));
+    assert!(zones.contacted_since(&zone, at(10)));
+    assert!(!zones.contacted_since(&zone, at(11)));
 }
--- a/src/member/rumors.rs
+++ b/src/member/updates.rs
@@ -13,7 +13,7 @@
     /// What is claimed of a host.
     Claim(host::HostId),
     /// An availability zone that can't be reached.
-    Dark(SmolStr),
+    Unreachable(SmolStr),
     /// A host's record.
     Record(host::HostId),
     /// The end of an upstream.
@@ -24,7 +24,7 @@
 
 /// How pressing a piece of news is; the first goes first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Rank {
+pub enum Priority {
     /// Stops work from going to a host that can't run it.
     Urgent,
     /// Suspicions and dark zones.
@@ -57,14 +57,14 @@
 ///
 /// Invariant: `order` holds exactly the pairs of `states`.
 #[derive(Clone, Debug, Default)]
-pub struct Rumors {
-    states: collections::BTreeMap<Topic, (Rank, u32)>,
-    order: collections::BTreeSet<(Rank, u32, Topic)>,
+pub struct Queue {
+    states: collections::BTreeMap<Topic, (Priority, u32)>,
+    order: collections::BTreeSet<(Priority, u32, Topic)>,
 }
 
-impl Rumors {
+impl Queue {
     /// Adds news that were sent `sent` times already; news of the same topic are replaced.
-    pub fn add(&mut self, topic: Topic, rank: Rank, sent: u32) {
+    pub fn add(&mut self, topic: Topic, rank: Priority, sent: u32) {
         self.remove(&topic);
         self.states.insert(topic.clone(), (rank, sent));
         self.order.insert((rank, sent, topic));
@@ -79,7 +79,7 @@
 
     /// Whether urgent news wait.
     pub fn has_urgent(&self) -> bool {
-        self.order.first().is_some_and(|(rank, ..)| *rank == Rank::Urgent)
+        self.order.first().is_some_and(|(rank, ..)| *rank == Priority::Urgent)
     }
 
     /// How many pieces of news wait.
@@ -89,7 +89,7 @@
 
     /// Offers the topics of `rank` or more pressing ones to `pack` until one does not fit, and
     /// drops those that were then sent as often as `limits` allows their rank.
-    pub fn take(&mut self, rank: Rank, limits: Limits, mut pack: impl FnMut(&Topic) -> Fit) {
+    pub fn offer(&mut self, rank: Priority, limits: Limits, mut pack: impl FnMut(&Topic) -> Fit) {
         let mut taken = Vec::new();
         for (found, _, topic) in &self.order {
             if *found > rank {
@@ -108,7 +108,7 @@
 
     fn tick_off(&mut self, topic: Topic, gone: bool, limits: Limits) {
         let Some(&(rank, sent)) = self.states.get(&topic) else { return };
-        let limit = if rank == Rank::Urgent { limits.urgent } else { limits.plain };
+        let limit = if rank == Priority::Urgent { limits.urgent } else { limits.plain };
         if gone || sent + 1 >= limit {
             self.remove(&topic);
         } else {
--- a/src/member/wire.rs
+++ b/src/member/wire.rs
@@ -55,14 +55,14 @@
         running: Running,
     },
     /// Tells the asker that its target answered the helper.
-    Answered {
+    IndirectAck {
         /// Number of the question.
         sequence: u32,
         /// Host that answered.
         target: host::HostId,
     },
     /// Asks a helper to ping a host that does not answer the asker.
-    Ask {
+    PingRequest {
         /// Number of the question.
         sequence: u32,
         /// Host to ping.
@@ -203,7 +203,7 @@
         claim: Claim,
     },
     /// An availability zone that the sender can't reach.
-    Dark {
+    Unreachable {
         /// Index of the zone among the names.
         zone: u8,
     },
@@ -249,7 +249,7 @@
     Excess,
     /// An end names too many requests.
     #[error("the end of an upstream names too many requests")]
-    Prints,
+    Fingerprints,
     /// An item refers to a name that is not there.
     #[error("an item refers to a name that is not there")]
     Name,
@@ -293,7 +293,7 @@
 
 fn check_body(body: &Body) -> Result<(), Error> {
     match *body {
-        Body::Answered { target, .. } | Body::Ask { target, .. } => check_host(target),
+        Body::IndirectAck { target, .. } | Body::PingRequest { target, .. } => check_host(target),
         Body::Busy { instead: Some(id) } => check_host(id),
         Body::Bucket { prefix, .. } | Body::Digest { prefix, .. } => {
             let fits = prefix.bits <= 28 && prefix.bits % 4 == 0;
@@ -308,9 +308,9 @@
     let check_name = |i: u8| if usize::from(i) < names { Ok(()) } else { Err(Error::Name) };
     match item {
         Item::Claim { host, .. } => check_host(*host),
-        Item::Dark { zone } => check_name(*zone),
+        Item::Unreachable { zone } => check_name(*zone),
         Item::Crash(end) if end.fingerprints.len() > quarantine::MAX_FINGERPRINTS => {
-            Err(Error::Prints)
+            Err(Error::Fingerprints)
         }
         Item::Crash(end) => check_host(end.id.host),
         Item::Quarantine(_) | Item::Quarantines { .. } => Ok(()),
@@ -362,7 +362,7 @@
     pub fn dark(&mut self, zone: &SmolStr) -> bool {
         let known = self.names.len();
         match self.intern(zone) {
-            Some(zone) => self.put(known, Item::Dark { zone }),
+            Some(zone) => self.put(known, Item::Unreachable { zone }),
             None => {
                 self.names.truncate(known);
                 false
--- a/src/member/zones.rs
+++ b/src/member/zones.rs
@@ -35,7 +35,7 @@
 
 /// What hearing from a zone ended.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Lift {
+pub struct Contact {
     /// The zone was dark.
     pub dark: bool,
     /// Hosts that did not answer although their zone does.
@@ -48,7 +48,7 @@
     /// Probe some hosts of the zone again.
     Again,
     /// The zone is dark.
-    Dark,
+    Unreachable,
 }
 
 /// What is known of each availability zone.
@@ -59,20 +59,20 @@
 
 impl Zones {
     /// Notes that a host of `zone` was heard from.
-    pub fn hear(&mut self, zone: &SmolStr, now: clock::Instant) -> Lift {
+    pub fn record_contact(&mut self, zone: &SmolStr, now: clock::Instant) -> Contact {
         let zone = self.entry(zone);
         zone.heard = Some(now);
         let suspects = zone.check.take().map(|c| c.suspects.into_iter().collect());
-        Lift { dark: zone.dark.take().is_some(), suspects: suspects.unwrap_or_default() }
+        Contact { dark: zone.dark.take().is_some(), suspects: suspects.unwrap_or_default() }
     }
 
     /// Whether `zone` was heard from at `since` or later.
-    pub fn heard_since(&self, zone: &SmolStr, since: clock::Instant) -> bool {
+    pub fn contacted_since(&self, zone: &SmolStr, since: clock::Instant) -> bool {
         self.zones.get(zone).and_then(|z| z.heard).is_some_and(|heard| heard >= since)
     }
 
     /// Whether `zone` can't be reached.
-    pub fn is_dark(&self, zone: &SmolStr) -> bool {
+    pub fn is_unreachable(&self, zone: &SmolStr) -> bool {
         self.zones.get(zone).is_some_and(|z| z.dark.is_some())
     }
 
@@ -115,7 +115,7 @@
             } else {
                 zone.check = None;
                 zone.dark = Some(now);
-                ended.push((name.clone(), Verdict::Dark));
+                ended.push((name.clone(), Verdict::Unreachable));
             }
         }
         ended
--- a/tests/member/cold.rs
+++ b/tests/member/cold.rs
@@ -108,7 +108,7 @@
         }
     }
     mesh.handle(5, member::Event::Listed(before));
-    let incarnation = mesh.slots[5].member.as_mut().map(|member| {
+    let incarnation = mesh.hosts[5].member.as_mut().map(|member| {
         let view = member.view();
         view.host(net::id(5)).map(|host| host.incarnation)
     });
@@ -117,7 +117,7 @@
 
 /// What host `index` takes host `other` for.
 fn health(mesh: &mut net::Net, index: usize, other: usize) -> Option<view::Health> {
-    let view = mesh.slots[index].member.as_mut()?.view();
+    let view = mesh.hosts[index].member.as_mut()?.view();
     view.host(net::id(other)).map(|host| host.health)
 }
 
--- a/tests/member/cost.rs
+++ b/tests/member/cost.rs
@@ -39,7 +39,7 @@
         net.run(Duration::from_secs(3));
         net.handle(index, member::Event::Stage(node::Stage::End));
         net.kill(index);
-        let fresh = net.add(net::settings(net.slots.len()));
+        let fresh = net.add(net::settings(net.hosts.len()));
         net.run(Duration::from_secs(3));
         let serving = net::upstream(fresh, view::Phase::Serving);
         net.handle(fresh, member::Event::Local(Some(serving.into())));
@@ -71,7 +71,7 @@
     (0..60).for_each(|_| feed.second());
     let idle = feed.tally.sent - before;
     let before = feed.tally.sent;
-    feed.news(9, 1, view::Phase::Serving, 40);
+    feed.gossip(9, 1, view::Phase::Serving, 40);
     (0..60).for_each(|_| feed.second());
     let bytes = (feed.tally.sent - before).saturating_sub(idle);
     assert!((100..3000).contains(&bytes), "{bytes} bytes");
--- a/tests/member/faults.rs
+++ b/tests/member/faults.rs
@@ -147,9 +147,9 @@
     let datagram = wire::Datagram { from, body, names: Vec::new(), items: vec![claim] };
     let message = seal::Seal::new("mesh", "key").seal(&wire::encode(&datagram).unwrap());
     (0..10).filter(|i| *i != 1).for_each(|i| net.deliver(i, &message));
-    let before = net.slots[3].datagrams;
+    let before = net.hosts[3].datagrams;
     net.run(Duration::from_secs(10));
-    let sent = net.slots[3].datagrams - before;
+    let sent = net.hosts[3].datagrams - before;
     assert!(sent < 200, "{sent} datagrams in 10 s");
 }
 
@@ -183,12 +183,12 @@
 fn befall(net: &mut net::Net, fate: Fate) {
     match fate {
         Fate::Kill(i) => net.kill(i),
-        Fate::Start(i) if net.slots[i].member.is_none() => net.start(i),
-        Fate::Pause(i) => net.slots[i].paused = true,
-        Fate::Resume(i) if net.slots[i].paused => net.resume(i),
+        Fate::Start(i) if net.hosts[i].member.is_none() => net.start(i),
+        Fate::Pause(i) => net.hosts[i].paused = true,
+        Fate::Resume(i) if net.hosts[i].paused => net.resume(i),
         Fate::Start(_) | Fate::Resume(_) => {}
-        Fate::Cut(i) => net.slots[i].side ^= 1,
-        Fate::Join => net.slots.iter_mut().for_each(|s| s.side = 0),
+        Fate::Cut(i) => net.hosts[i].side ^= 1,
+        Fate::Join => net.hosts.iter_mut().for_each(|s| s.side = 0),
         Fate::Drain(i) => net.handle(i, member::Event::Stage(node::Stage::Drain)),
     }
 }
@@ -201,7 +201,7 @@
     fn check(&mut self, net: &mut net::Net) -> Result<(), TestCaseError> {
         for (index, view) in net.views() {
             for host in &view.hosts {
-                let key = (index, net.slots[index].life, host.id);
+                let key = (index, net.hosts[index].generation, host.id);
                 let last = self.0.insert(key, host.incarnation).unwrap_or(0);
                 prop_assert!(last <= host.incarnation, "host {index} went back on {}", host.id);
             }
--- a/tests/member/feed.rs
+++ b/tests/member/feed.rs
@@ -67,7 +67,7 @@
     }
 
     /// Plays news of host `index` in its incarnation `life`, as `copies` peers pass them on.
-    pub fn news(&mut self, index: usize, life: u64, phase: view::Phase, copies: usize) {
+    pub fn gossip(&mut self, index: usize, life: u64, phase: view::Phase, copies: usize) {
         for copy in 0..copies {
             let from = self.peer(index + 7 * copy);
             let mut packer = wire::Packer::new(from, wire::Body::Gossip);
--- a/tests/member/net.rs
+++ b/tests/member/net.rs
@@ -47,7 +47,7 @@
 }
 
 /// One host.
-pub struct Slot {
+pub struct Host {
     pub id: host::HostId,
     pub member: Option<member::Member>,
     pub paused: bool,
@@ -55,9 +55,9 @@
     pub side: u8,
     pub sent: u64,
     pub datagrams: u64,
-    pub heard: u64,
+    pub mismatches: u64,
     /// Number of the process on this host.
-    pub life: u64,
+    pub generation: u64,
     settings: configs::Node,
     wake: clock::Instant,
 }
@@ -65,7 +65,7 @@
 /// The network with its hosts.
 pub struct Net {
     pub now: clock::Instant,
-    pub slots: Vec<Slot>,
+    pub hosts: Vec<Host>,
     pub faults: Faults,
     rng: rngs::Xoshiro256PlusPlus,
     queue: collections::BinaryHeap<cmp::Reverse<(clock::Instant, u64, Step)>>,
@@ -120,7 +120,7 @@
     pub fn with(count: usize, seed: u64, change: impl Fn(&mut configs::Node)) -> Self {
         let mut net = Self {
             now: clock::Instant::from_millis(10),
-            slots: Vec::new(),
+            hosts: Vec::new(),
             faults: Faults::default(),
             rng: rngs::Xoshiro256PlusPlus::seed_from_u64(seed),
             queue: collections::BinaryHeap::new(),
@@ -150,18 +150,18 @@
 
     /// Adds and starts a host.
     pub fn add(&mut self, settings: configs::Node) -> usize {
-        let index = self.slots.len();
+        let index = self.hosts.len();
         let id = host::HostId::new(settings.listen);
         self.ids.insert(id, index);
-        self.slots.push(Slot {
+        self.hosts.push(Host {
             id,
             member: None,
             paused: false,
             side: 0,
             sent: 0,
             datagrams: 0,
-            heard: 0,
-            life: 0,
+            mismatches: 0,
+            generation: 0,
             settings,
             wake: clock::Instant::ZERO,
         });
@@ -173,8 +173,8 @@
     pub fn start(&mut self, index: usize) {
         let seed = self.rng.random();
         let incarnation = EPOCH + self.now.as_micros() / 1000;
-        let slot = &mut self.slots[index];
-        slot.life += 1;
+        let slot = &mut self.hosts[index];
+        slot.generation += 1;
         let mut member = member::Member::new(&slot.settings, seed, incarnation, self.now);
         if slot.settings.join.is_empty() {
             member.await_directory();
@@ -186,7 +186,7 @@
 
     /// Ends the process of host `index` without a word.
     pub fn kill(&mut self, index: usize) {
-        self.slots[index].member = None;
+        self.hosts[index].member = None;
     }
 
     /// Lets virtual time run for `span`.
@@ -225,14 +225,14 @@
     }
 
     fn wake(&mut self, index: usize) {
-        if self.slots[index].wake == self.now && !self.slots[index].paused {
+        if self.hosts[index].wake == self.now && !self.hosts[index].paused {
             self.handle(index, member::Event::Tick);
         }
     }
 
     /// Hands `message` to host `to` as its shell would.
     pub fn deliver(&mut self, to: usize, message: &[u8]) {
-        if self.slots[to].paused {
+        if self.hosts[to].paused {
             let later = self.now + time::Duration::from_millis(50);
             self.push(later, Step::Deliver { to, message: message.to_vec() });
             return;
@@ -244,16 +244,16 @@
 
     /// Hands `event` to host `index` and carries out its actions.
     pub fn handle(&mut self, index: usize, event: member::Event) {
-        let Some(member) = &mut self.slots[index].member else { return };
+        let Some(member) = &mut self.hosts[index].member else { return };
         let actions = member.handle(event, self.now);
         let wake = member.wake().max(self.now + time::Duration::from_micros(1));
         for action in actions {
             match action {
-                member::Action::VersionMismatch(_) => self.slots[index].heard += 1,
+                member::Action::VersionMismatch(_) => self.hosts[index].mismatches += 1,
                 member::Action::Send { to, datagram } => self.send(index, to, datagram),
             }
         }
-        let slot = &mut self.slots[index];
+        let slot = &mut self.hosts[index];
         if slot.wake <= self.now || wake < slot.wake {
             slot.wake = wake;
             self.push(wake, Step::Wake(index));
@@ -270,10 +270,10 @@
         }
         let message = self.seal.seal(&wire::encode(&datagram).unwrap());
         assert!(message.len() <= wire::MAX_BYTES, "{} bytes", message.len());
-        self.slots[from].sent += message.len() as u64;
-        self.slots[from].datagrams += 1;
+        self.hosts[from].sent += message.len() as u64;
+        self.hosts[from].datagrams += 1;
         let Some(&to) = self.ids.get(&to) else { return };
-        if self.slots[from].side != self.slots[to].side {
+        if self.hosts[from].side != self.hosts[to].side {
             return;
         }
         let copies = 1 + u32::from(self.rng.random_bool(self.faults.duplicate));
@@ -293,20 +293,20 @@
 
     /// Wakes a paused host; what arrived in the meantime arrives now.
     pub fn resume(&mut self, index: usize) {
-        self.slots[index].paused = false;
+        self.hosts[index].paused = false;
         self.handle(index, member::Event::Tick);
     }
 
     /// The views of all running hosts that are not paused.
     pub fn views(&mut self) -> Vec<(usize, view::View)> {
-        let slots = self.slots.iter_mut().enumerate().filter(|(_, s)| !s.paused);
+        let slots = self.hosts.iter_mut().enumerate().filter(|(_, s)| !s.paused);
         slots.filter_map(|(i, s)| Some((i, s.member.as_mut()?.view()))).collect()
     }
 
     /// Whether every running host sees exactly the running hosts as alive.
     pub fn agrees(&mut self) -> bool {
         let running: Vec<_> =
-            self.slots.iter().filter(|s| s.member.is_some()).map(|s| s.id).collect();
+            self.hosts.iter().filter(|s| s.member.is_some()).map(|s| s.id).collect();
         self.views().iter().all(|(_, view)| {
             let alive = view.hosts.iter().filter(|h| h.health == view::Health::Alive);
             let alive: collections::HashSet<_> = alive.map(|h| h.id).collect();
@@ -323,17 +323,17 @@
 
     /// Puts the hosts for which `other` holds on the other side of a cut.
     pub fn cut(&mut self, other: impl Fn(&configs::Node) -> bool) {
-        self.slots.iter_mut().for_each(|s| s.side = u8::from(other(&s.settings)));
+        self.hosts.iter_mut().for_each(|s| s.side = u8::from(other(&s.settings)));
     }
 
     /// The standing of host `index`.
     pub fn standing(&self, index: usize) -> Option<view::Standing> {
-        self.slots[index].member.as_ref().map(member::Member::standing)
+        self.hosts[index].member.as_ref().map(member::Member::standing)
     }
 
     /// What the running hosts other than `index` hold of it.
     pub fn seen(&mut self, index: usize) -> Vec<Option<view::Host>> {
-        let wanted = self.slots[index].id;
+        let wanted = self.hosts[index].id;
         let views = self.views();
         let others = views.iter().filter(|(i, _)| *i != index);
         others.map(|(_, v)| v.host(wanted).cloned()).collect()
@@ -341,6 +341,6 @@
 
     /// Bytes sent so far by all hosts.
     pub fn sent(&self) -> u64 {
-        self.slots.iter().map(|s| s.sent).sum()
+        self.hosts.iter().map(|s| s.sent).sum()
     }
 }
--- a/tests/member/quarantine.rs
+++ b/tests/member/quarantine.rs
@@ -24,12 +24,12 @@
 /// How long host `index` refuses `print` for.
 fn left(net: &mut net::Net, index: usize, print: Fingerprint) -> Option<time::Duration> {
     let now = net.now;
-    net.slots[index].member.as_mut()?.quarantine_snapshot().remaining(print, 0.0, now)
+    net.hosts[index].member.as_mut()?.quarantine_snapshot().remaining(print, 0.0, now)
 }
 
 /// The running hosts that let `BAD` pass.
 fn unaware(net: &mut net::Net) -> Vec<usize> {
-    let running = (0..net.slots.len()).filter(|index| net.slots[*index].member.is_some());
+    let running = (0..net.hosts.len()).filter(|index| net.hosts[*index].member.is_some());
     running.collect::<Vec<_>>().into_iter().filter(|i| left(net, *i, BAD).is_none()).collect()
 }
 
--- a/tests/member/scenes.rs
+++ b/tests/member/scenes.rs
@@ -54,7 +54,7 @@
 fn paused_host_refutes_before_it_acts(#[case] seed: u64) {
     let mut net = net::Net::settled(N, seed);
     let before = net.seen(17)[0].clone().unwrap().incarnation;
-    net.slots[17].paused = true;
+    net.hosts[17].paused = true;
     net.run(Duration::from_secs(40));
     assert!(net.seen(17).iter().flatten().all(|h| h.health == view::Health::Unreachable));
 
@@ -76,7 +76,7 @@
 fn short_pause_costs_nothing_but_a_question() {
     let mut net = net::Net::settled(N, 1);
     let before = net.seen(17)[0].clone().unwrap().incarnation;
-    net.slots[17].paused = true;
+    net.hosts[17].paused = true;
     net.run(Duration::from_secs(3));
     net.resume(17);
     assert_eq!(net.standing(17), Some(view::Standing::Paused));
@@ -178,12 +178,12 @@
 #[rstest]
 fn heard_of_another_version() {
     let mut net = net::Net::settled(10, 1);
-    assert_eq!(net.slots.iter().map(|s| s.heard).sum::<u64>(), 0);
+    assert_eq!(net.hosts.iter().map(|s| s.mismatches).sum::<u64>(), 0);
     let stamp = dandelionspool::version::VersionId {
         version: dandelionspool::version::Version::new(7),
         digest: dandelionspool::version::Digest::of(b"seven"),
     };
     net.handle(3, member::Event::Applied(stamp));
     net.run(Duration::from_secs(3));
-    assert!(net.slots.iter().filter(|s| s.heard > 0).count() >= 2);
+    assert!(net.hosts.iter().filter(|s| s.mismatches > 0).count() >= 2);
 }
