--- a/benches/claim.rs
+++ b/benches/claim.rs
@@ -64,10 +64,10 @@
     });
     criterion.bench_function("write 200 claims, question to answer", |b| {
         let limits = Limits {
-            group: time::Duration::from_millis(20),
+            append_interval: time::Duration::from_millis(20),
             window: time::Duration::from_secs(600),
-            patience: time::Duration::from_secs(1),
-            waiting: 20_000,
+            append_timeout: time::Duration::from_secs(1),
+            max_waiting: 20_000,
         };
         let mut writer = writer::Writer::new(limits);
         let (mut first, mut offset, mut now) = (0, 0, clock::Instant::from_millis(1000));
--- a/src/admin/calls.rs
+++ b/src/admin/calls.rs
@@ -100,7 +100,7 @@
 
 /// Upper bounds of the latency buckets, in seconds.
 fn bounds() -> impl Iterator<Item = f64> {
-    let finite = (0..tally::BUCKETS - 1).scan(tally::FINEST.as_secs_f64(), |bound, _| {
+    let finite = (0..tally::BUCKETS - 1).scan(tally::FIRST_BOUND.as_secs_f64(), |bound, _| {
         let this = *bound;
         *bound *= 2.0;
         Some(this)
--- a/src/claim/event.rs
+++ b/src/claim/event.rs
@@ -20,13 +20,13 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     /// Least time between two appends.
-    pub group: time::Duration,
+    pub append_interval: time::Duration,
     /// How long a claim is remembered.
     pub window: time::Duration,
     /// Longest an append may take to be read back before the log counts as failing.
-    pub patience: time::Duration,
+    pub append_timeout: time::Duration,
     /// Most entries that wait.
-    pub waiting: usize,
+    pub max_waiting: usize,
 }
 
 /// How an append ended.
--- a/src/claim/ledger.rs
+++ b/src/claim/ledger.rs
@@ -119,10 +119,10 @@
         let window = time::Duration::from_secs(claim.window_s);
         let waiting = usize::try_from(claim.waiting).unwrap_or(usize::MAX);
         let keep = Limits {
-            group: time::Duration::from_millis(claim.group_ms),
+            append_interval: time::Duration::from_millis(claim.group_ms),
             window,
-            patience: time::Duration::from_millis(claim.patience_ms),
-            waiting,
+            append_timeout: time::Duration::from_millis(claim.patience_ms),
+            max_waiting: waiting,
         };
         let desk = desk::Limits {
             partitions: claim.partitions,
--- a/src/claim/tests/sim.rs
+++ b/src/claim/tests/sim.rs
@@ -97,10 +97,10 @@
 
 fn fresh() -> Writer {
     Writer::new(Limits {
-        group: time::Duration::from_millis(5),
+        append_interval: time::Duration::from_millis(5),
         window: time::Duration::from_secs(3600),
-        patience: time::Duration::from_millis(300),
-        waiting: 1000,
+        append_timeout: time::Duration::from_millis(300),
+        max_waiting: 1000,
     })
 }
 
--- a/src/claim/tests/writer.rs
+++ b/src/claim/tests/writer.rs
@@ -13,10 +13,10 @@
 use crate::logs;
 
 const LIMITS: Limits = Limits {
-    group: time::Duration::from_millis(20),
+    append_interval: time::Duration::from_millis(20),
     window: time::Duration::from_secs(60),
-    patience: time::Duration::from_millis(500),
-    waiting: 100,
+    append_timeout: time::Duration::from_millis(500),
+    max_waiting: 100,
 };
 
 fn at(millis: u64) -> clock::Instant {
@@ -178,7 +178,7 @@
         assert_eq!(answers(&writer.handle(ask(n, entry(Op::Claim, 1, n), 9000), at(1))), []);
     }
     let actions = writer.handle(ask(100, entry(Op::Claim, 1, 100), 9000), at(1));
-    let busy = claim::Error::Busy { retry_after: LIMITS.group };
+    let busy = claim::Error::Busy { retry_after: LIMITS.append_interval };
     assert_eq!(answers(&actions), [(100, Answer::Failed { error: busy, written: false })]);
 }
 
--- a/src/claim/writer.rs
+++ b/src/claim/writer.rs
@@ -154,11 +154,11 @@
             let error = claim::Error::Unavailable { retry_after };
             return Some(Answer::Failed { error, written: false });
         }
-        let full = self.pending.len() >= self.limits.waiting;
+        let full = self.pending.len() >= self.limits.max_waiting;
         match self.pending.entry(entry) {
             hash_map::Entry::Occupied(mut pending) => pending.get_mut().waiters.push(waiter),
             hash_map::Entry::Vacant(_) if full => {
-                let error = claim::Error::Busy { retry_after: self.limits.group };
+                let error = claim::Error::Busy { retry_after: self.limits.append_interval };
                 return Some(Answer::Failed { error, written: false });
             }
             hash_map::Entry::Vacant(pending) => {
@@ -191,12 +191,12 @@
     /// How long to ask again, while the log fails.
     fn closed(&self, now: clock::Instant) -> Option<time::Duration> {
         let stuck = self.flight.as_ref().is_some_and(|f| self.late(f, now));
-        let stuck = stuck.then_some(self.limits.patience);
+        let stuck = stuck.then_some(self.limits.append_timeout);
         self.appends.open(now).max(self.reads.open(now)).or(stuck)
     }
 
     fn late(&self, flight: &Flight, now: clock::Instant) -> bool {
-        now.since(flight.since) >= self.limits.patience
+        now.since(flight.since) >= self.limits.append_timeout
     }
 
     /// Notes how an append ended. A success alone answers nobody; after a failure its entries are
@@ -228,7 +228,7 @@
 
     /// Answers everybody that there is no verdict. Their entries are not written any more.
     fn refuse(&mut self, now: clock::Instant, actions: &mut Vec<Action>) {
-        let retry_after = self.closed(now).unwrap_or(self.limits.patience);
+        let retry_after = self.closed(now).unwrap_or(self.limits.append_timeout);
         let error = claim::Error::Unavailable { retry_after };
         self.queue.clear();
         for (_, pending) in self.pending.drain() {
@@ -345,7 +345,7 @@
         let ticket = Ticket(self.tickets);
         actions.push(Action::Append(ticket, record::encode(&entries)));
         self.flight = Some(Flight { ticket, entries, since: now });
-        self.free = now + self.limits.group;
+        self.free = now + self.limits.append_interval;
     }
 
     /// What is to be written again, before anything new. Releases come first, so that whoever holds a key now
--- a/src/cli/report.rs
+++ b/src/cli/report.rs
@@ -150,7 +150,7 @@
         whole: first == Some(0),
         oldest_unix_ms,
         repeats: sum.repeats(),
-        unread: sum.unread(),
+        unread: sum.unreadable(),
         charges: sum.charges(),
     })
 }
--- a/src/logs/http.rs
+++ b/src/logs/http.rs
@@ -43,7 +43,7 @@
     #[error("the log service is busy")]
     Busy {
         /// How long to wait, if the service said.
-        after: Option<time::Duration>,
+        retry_after: Option<time::Duration>,
     },
     /// Another status.
     #[error("the log service answered with status {0}")]
@@ -72,7 +72,7 @@
 pub struct Client {
     pool: Arc<connection::Pool>,
     /// Longest a request may take, its wait for a record not counted.
-    limit: time::Duration,
+    timeout: time::Duration,
 }
 
 /// An answer read whole.
@@ -88,7 +88,7 @@
     /// A client with `settings` whose bytes count into `traffic`. Connects when it is first used.
     pub fn new(settings: &configs::log::Log, traffic: Arc<traffic::Traffic>) -> Self {
         let pool = Arc::new(connection::Pool::new(settings.address, traffic));
-        Self { pool, limit: time::Duration::from_millis(settings.append_ms) }
+        Self { pool, timeout: time::Duration::from_millis(settings.append_ms) }
     }
 
     /// Sends `request` and reads its answer within `limit`, on a kept connection if one is idle.
@@ -108,7 +108,7 @@
                 Sent::Unsent(returned, _) => request = returned,
             }
         }
-        let connect = tokio::time::timeout(self.limit, self.pool.connect());
+        let connect = tokio::time::timeout(self.timeout, self.pool.connect());
         let sender = connect.await.map_err(|_| Error::ConnectTimeout)??;
         match self.send(sender, request, limit).await? {
             Sent::Answered(answer) => Ok(answer),
@@ -144,8 +144,8 @@
     }
 
     /// Longest a request may take, its wait for a record not counted.
-    pub const fn limit(&self) -> time::Duration {
-        self.limit
+    pub const fn timeout(&self) -> time::Duration {
+        self.timeout
     }
 
     /// A request to the service, which gives the connection its name.
@@ -169,7 +169,7 @@
     async fn append(&self, stream: &str, body: Bytes) -> Result<logs::Offset, Error> {
         let path = format!("/streams/{stream}");
         let request = self.request(http::Method::POST, &path).body(Full::new(body))?;
-        let answer = self.call(request, self.limit).await?;
+        let answer = self.call(request, self.timeout).await?;
         answer.check()?;
         answer.number(wire::OFFSET_HEADER)
     }
@@ -184,7 +184,7 @@
         let wait_ms = wait.as_millis();
         let path = format!("/streams/{stream}?from={from}&most={most}&wait_ms={wait_ms}");
         let request = self.request(http::Method::GET, &path).body(Full::default())?;
-        let answer = self.call(request, wait.saturating_add(self.limit)).await?;
+        let answer = self.call(request, wait.saturating_add(self.timeout)).await?;
         answer.check()?;
         let first = answer.number(wire::FIRST_HEADER)?;
         let next = answer.number(wire::NEXT_HEADER)?;
@@ -197,13 +197,13 @@
     fn check(&self) -> Result<(), Error> {
         match self.head.status {
             status if status.is_success() => Ok(()),
-            StatusCode::TOO_MANY_REQUESTS => Err(Error::Busy { after: self.after() }),
+            StatusCode::TOO_MANY_REQUESTS => Err(Error::Busy { retry_after: self.retry_after() }),
             status => Err(Error::Status(status)),
         }
     }
 
     /// How long the service asks to wait.
-    pub fn after(&self) -> Option<time::Duration> {
+    pub fn retry_after(&self) -> Option<time::Duration> {
         let value = self.head.headers.get(header::RETRY_AFTER)?;
         let seconds = value.to_str().ok()?.parse().ok()?;
         Some(time::Duration::from_secs(seconds))
--- a/src/proxy/shell.rs
+++ b/src/proxy/shell.rs
@@ -87,7 +87,7 @@
         () = closed => {}
     }
     drop(followers);
-    state.tally.borrow_mut().hand(&wiring.tallies);
+    state.tally.borrow_mut().flush(&wiring.tallies);
     Ok(())
 }
 
@@ -196,7 +196,7 @@
     let mut tidy = tokio::time::interval(TIDY);
     loop {
         tokio::select! {
-            _ = hand.tick() => state.tally.borrow_mut().hand(&tallies),
+            _ = hand.tick() => state.tally.borrow_mut().flush(&tallies),
             _ = tidy.tick() => {
                 let address = state.local.borrow().as_ref().map(|l| l.address);
                 state.pool.tidy(address);
--- a/src/usage/mod.rs
+++ b/src/usage/mod.rs
@@ -118,7 +118,7 @@
     pub calls: [u64; OUTCOMES.len()],
     /// Served calls that took longer than the service's latency objective.
     pub slow: u64,
-    /// Served calls by latency: below 2^n times [`tally::FINEST`], the last one unbounded.
+    /// Served calls by latency: below 2^n times [`tally::FIRST_BOUND`], the last one unbounded.
     pub latencies: [u64; tally::BUCKETS],
     /// Sum of the latencies of served calls, in microseconds.
     pub micros: u64,
--- a/src/usage/outbox.rs
+++ b/src/usage/outbox.rs
@@ -169,8 +169,8 @@
         }
         self.sequence += 1;
         let sequence = self.sequence;
-        let name = record::Name { host: self.host, life: self.life, sequence };
-        let body = record::encode(&record::Total { name, until_unix_ms: unix_ms, rows });
+        let name = record::TotalId { host: self.host, incarnation: self.life, sequence };
+        let body = record::encode(&record::Total { id: name, until_unix_ms: unix_ms, rows });
         self.sent = Some(Sent { sequence, body, tries: 0, due: now });
     }
 }
--- a/src/usage/record.rs
+++ b/src/usage/record.rs
@@ -11,11 +11,11 @@
 
 /// Names a total: of all totals with one name, one counts.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Name {
+pub struct TotalId {
     /// The node that counted.
     pub host: host::HostId,
     /// A number drawn by the process when it started.
-    pub life: u64,
+    pub incarnation: u64,
     /// Number of the total in that life, from 1.
     pub sequence: u64,
 }
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Total {
     /// Its name.
-    pub name: Name,
+    pub id: TotalId,
     /// When the counting ended, in milliseconds since the Unix epoch by the node's clock.
     pub until_unix_ms: u64,
     /// The counts; each label once.
--- a/src/usage/sum.rs
+++ b/src/usage/sum.rs
@@ -31,12 +31,12 @@
 #[derive(Debug, Default)]
 pub struct Sum {
     period_ms: u64,
-    seen: collections::HashSet<record::Name>,
+    seen: collections::HashSet<record::TotalId>,
     counts: collections::BTreeMap<(u64, crate::usage::Label), u64>,
     /// Totals that were there more than once.
     repeats: u64,
     /// Records that could not be read.
-    unread: u64,
+    unreadable: u64,
 }
 
 impl Sum {
@@ -48,11 +48,11 @@
     /// Adds one record.
     pub fn add(&mut self, record: &logs::Record) {
         let Ok(totals) = record::split(&record.body) else {
-            self.unread += 1;
+            self.unreadable += 1;
             return;
         };
         for total in totals {
-            if !self.seen.insert(total.name) {
+            if !self.seen.insert(total.id) {
                 self.repeats += 1;
                 continue;
             }
@@ -70,8 +70,8 @@
     }
 
     /// Records that could not be read.
-    pub const fn unread(&self) -> u64 {
-        self.unread
+    pub const fn unreadable(&self) -> u64 {
+        self.unreadable
     }
 
     /// The charges, by period, organisation, service and kind.
--- a/src/usage/tally.rs
+++ b/src/usage/tally.rs
@@ -10,7 +10,7 @@
 pub const BUCKETS: usize = 16;
 
 /// Upper bound of the first latency bucket; each further bound is twice the one before.
-pub const FINEST: time::Duration = time::Duration::from_micros(256);
+pub const FIRST_BOUND: time::Duration = time::Duration::from_micros(256);
 
 /// Counts that the call thread has made and not yet handed over.
 ///
@@ -49,7 +49,7 @@
 
     /// Hands everything counted to `ring`. When the ring is full the counts stay here and are
     /// part of the next delta; nothing is lost and nothing counts twice.
-    pub fn hand(&mut self, ring: &ring::Sender<usage::Delta>) {
+    pub fn flush(&mut self, ring: &ring::Sender<usage::Delta>) {
         self.rows.retain(|_, totals| totals.calls.iter().any(|&c| c > 0));
         if self.rows.is_empty() {
             return;
@@ -63,7 +63,7 @@
 
 /// Index of the latency bucket of `latency`.
 pub fn bucket(latency: time::Duration) -> usize {
-    let ratio = latency.as_micros() / FINEST.as_micros();
+    let ratio = latency.as_micros() / FIRST_BOUND.as_micros();
     let bits = u128::BITS - ratio.leading_zeros();
     usize::try_from(bits).unwrap_or(BUCKETS).min(BUCKETS - 1)
 }
--- a/src/usage/tests.rs
+++ b/src/usage/tests.rs
@@ -33,7 +33,7 @@
     let mut tally = usage::Tally::new();
     for outcome in usage::OUTCOMES {
         tally.record(&count(outcome, 150));
-        tally.hand(&sender);
+        tally.flush(&sender);
     }
     let mut got = usage::Totals::default();
     let mut deltas = 0;
@@ -41,7 +41,7 @@
         delta.rows.iter().for_each(|(_, totals)| got.add(totals));
         deltas += 1;
         assert!(deltas <= 2, "the same counts are handed over again and again");
-        tally.hand(&sender);
+        tally.flush(&sender);
     }
     assert_eq!(deltas, 2);
     assert_eq!(got.calls, [1; usage::OUTCOMES.len()]);
@@ -54,8 +54,8 @@
     let (sender, mut receiver) = ring::bounded(4);
     let mut tally = usage::Tally::new();
     tally.record(&count(usage::Outcome::Served, 1));
-    tally.hand(&sender);
-    tally.hand(&sender);
+    tally.flush(&sender);
+    tally.flush(&sender);
     assert!(receiver.try_recv().is_ok());
     assert!(receiver.try_recv().is_err());
 }
@@ -87,7 +87,7 @@
         let mut tally = usage::Tally::new();
         let (sender, mut receiver) = ring::bounded(1);
         tally.record(&count(usage::Outcome::Served, 1));
-        tally.hand(&sender);
+        tally.flush(&sender);
         outbox.add(&receiver.try_recv().expect("a delta"));
         let send = outbox.poll(at(n * 10_000), n * 10_000, false).expect("a total");
         outbox.stands(send.sequence, at(n * 10_000));
--- a/tests/log_service.rs
+++ b/tests/log_service.rs
@@ -116,7 +116,7 @@
         match client.append(STREAM, Bytes::from_static(b"x")).await {
             Ok(_) => appended += 1,
             Err(error) => {
-                assert!(matches!(error, http::Error::Busy { after: Some(_) }), "{error:?}");
+                assert!(matches!(error, http::Error::Busy { retry_after: Some(_) }), "{error:?}");
                 assert!(!error.uncertain());
                 refused += 1;
             }
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -37,9 +37,9 @@
         kind: "buy".into(),
         weight: 5,
     };
-    let name = record::Name { host, life: 1, sequence };
+    let name = record::TotalId { host, incarnation: 1, sequence };
     let rows = vec![record::Row { label, served }];
-    record::encode(&record::Total { name, until_unix_ms, rows })
+    record::encode(&record::Total { id: name, until_unix_ms, rows })
 }
 
 #[tokio::test]
