--- a/benches/pick.rs
+++ b/benches/pick.rs
@@ -84,13 +84,17 @@
 fn call(picker: &mut pick::Picker, number: u64) {
     let now = clock::Instant::from_micros(number * 40);
     let service = mesh::ServiceKey((number % u64::from(SERVICES)) as u16);
-    let target = pick::Target { service, class: None, side: rollout::Side::Any };
+    let target = pick::Target { service, class: None, group: rollout::VersionGroup::Any };
     let Some(choice) = picker.pick(hint::black_box(target), now, &[]) else { return };
     picker.started(choice, now);
-    let load = admit::Load { running: 5, waiting: 0, slots: 9, service: 9000 };
+    let load = admit::Load { running: 5, waiting: 0, slots: 9, service_us: 9000 };
     let latency = time::Duration::from_millis(10);
-    let report =
-        pick::Report { outcome: retry::Outcome::Ran, load: Some(load), pace: None, latency };
+    let report = pick::Report {
+        outcome: retry::Outcome::Ran,
+        load: Some(load),
+        relative_time: None,
+        latency,
+    };
     picker.ended(choice, hint::black_box(&report), now);
 }
 
--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -56,7 +56,7 @@
 
     /// Adds what the calls found out of requests under which upstreams end.
     pub fn quarantine(&self, counts: &quarantine::Counts) {
-        let (ends, refused, held) = (&counts.crashes, &counts.refused, &counts.held);
+        let (ends, refused, held) = (&counts.crashes, &counts.refused, &counts.quarantined);
         self.register("upstream_ends", "Ends of the upstream while it ran calls", ends.clone());
         self.register("quarantine_refused", "Calls refused as quarantined", refused.clone());
         self.register("quarantine_held", "Requests held responsible for ends", held.clone());
--- a/src/admit/foresight.rs
+++ b/src/admit/foresight.rs
@@ -26,7 +26,7 @@
 
 impl Foresight {
     /// Notes that a call waited for `real` where `expected` had been expected.
-    pub(super) fn note(&mut self, expected: time::Duration, real: time::Duration) {
+    pub(super) fn record(&mut self, expected: time::Duration, real: time::Duration) {
         if expected < LEAST {
             return;
         }
--- a/src/admit/gate.rs
+++ b/src/admit/gate.rs
@@ -45,7 +45,7 @@
             limits,
             width: width::Width::new(&limits),
             draining: false,
-            running: Vec::with_capacity(limits.width()),
+            running: Vec::with_capacity(limits.concurrency()),
             queue: queue::Queue::default(),
             service: service::Service::default(),
             foresight: foresight::Foresight::default(),
@@ -79,14 +79,14 @@
             running: count(self.running.len()),
             waiting: count(self.queue.len()),
             slots: count(self.width.get()),
-            service: self.service.micros(),
+            service_us: self.service.micros(),
         }
     }
 
     /// When the gate wants a [`admit::Event::Tick`] at the latest; `None` while nobody waits.
     ///
     /// A waiter is refused while its caller still listens, so that "not run" is what it hears.
-    pub fn wake(&self) -> Option<clock::Instant> {
+    pub fn next_tick(&self) -> Option<clock::Instant> {
         self.queue.iter().map(|w| self.latest(w)).min()
     }
 
@@ -190,7 +190,7 @@
                 continue;
             }
             if !call.inner {
-                self.foresight.note(expected, now.since(since));
+                self.foresight.record(expected, now.since(since));
             }
             self.run(call, now, actions);
         }
@@ -278,18 +278,18 @@
         reason: retry::Reason,
         now: clock::Instant,
     ) -> admit::Action {
-        admit::Action::Refuse { ticket, reason, retry_after: self.pause(ticket, now) }
+        admit::Action::Refuse { ticket, reason, retry_after: self.retry_after(ticket, now) }
     }
 
     /// How long `ticket` should stay away: until those who wait have had their turn, and a part
     /// longer that differs from call to call.
-    pub fn pause(&self, ticket: admit::Ticket, now: clock::Instant) -> time::Duration {
+    pub fn retry_after(&self, ticket: admit::Ticket, now: clock::Instant) -> time::Duration {
         spread(self.wait(self.queue.len(), now).max(LEAST_WAIT), ticket)
     }
 
     fn end(&mut self, ticket: admit::Ticket, now: clock::Instant) {
         if let Some(run) = self.leave(ticket) {
-            self.service.note(run.kind, now.since(run.since));
+            self.service.record(run.kind, now.since(run.since));
             self.width.ended(run.others);
         }
     }
--- a/src/admit/load.rs
+++ b/src/admit/load.rs
@@ -13,15 +13,15 @@
     /// Calls that may run at once.
     pub slots: u16,
     /// Mean time a call ran, without its wait, in microseconds; 0 before one has ended.
-    pub service: u32,
+    pub service_us: u32,
 }
 
 impl Load {
     /// The same with a further wait of `micros` before a call gets its slot, told as calls that
     /// wait.
     pub fn and_wait(mut self, micros: f32) -> Self {
-        if self.service > 0 {
-            let calls = micros * f32::from(self.slots) / self.service as f32;
+        if self.service_us > 0 {
+            let calls = micros * f32::from(self.slots) / self.service_us as f32;
             // A float that is out of range ends at the bound.
             self.waiting = self.waiting.saturating_add(calls as u16);
         }
@@ -36,7 +36,7 @@
 
 impl fmt::Display for Load {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}/{}/{}/{}", self.running, self.waiting, self.slots, self.service)
+        write!(f, "{}/{}/{}/{}", self.running, self.waiting, self.slots, self.service_us)
     }
 }
 
@@ -49,7 +49,7 @@
             running: number(parts.next())?,
             waiting: number(parts.next())?,
             slots: number(parts.next())?,
-            service: number(parts.next())?,
+            service_us: number(parts.next())?,
         };
         Ok(load)
     }
--- a/src/admit/mod.rs
+++ b/src/admit/mod.rs
@@ -67,7 +67,7 @@
 
 impl Limits {
     /// Calls that may run at once.
-    pub const fn width(&self) -> usize {
+    pub const fn concurrency(&self) -> usize {
         let width = if self.slots < self.connections { self.slots } else { self.connections };
         width as usize
     }
--- a/src/admit/service.rs
+++ b/src/admit/service.rs
@@ -33,7 +33,7 @@
 
 impl Service {
     /// Notes that a call of `kind` ran for `took`.
-    pub(super) fn note(&mut self, kind: admit::Kind, took: time::Duration) {
+    pub(super) fn record(&mut self, kind: admit::Kind, took: time::Duration) {
         let index = usize::from(kind.0);
         if index >= self.kinds.len() {
             self.kinds.resize(index + 1, None);
--- a/src/admit/tests.rs
+++ b/src/admit/tests.rs
@@ -109,7 +109,7 @@
     bench.arrive(3, BROWSE, 1000, 0);
     assert_eq!(refused(&bench.arrive(4, BROWSE, 1000, 0)), [(4, retry::Reason::Full)]);
     assert_eq!(refused(&bench.arrive(5, ORDER, 1000, 0)), [(3, retry::Reason::Full)]);
-    assert_eq!(bench.gate.load(), admit::Load { running: 1, waiting: 2, slots: 1, service: 0 });
+    assert_eq!(bench.gate.load(), admit::Load { running: 1, waiting: 2, slots: 1, service_us: 0 });
 }
 
 #[test]
@@ -150,9 +150,9 @@
     bench.end(1, 100);
     bench.arrive(2, BROWSE, 10_000, 100);
     bench.arrive(3, BROWSE, 400, 100);
-    assert_eq!(bench.gate.wake(), Some(at(350)));
+    assert_eq!(bench.gate.next_tick(), Some(at(350)));
     assert_eq!(refused(&bench.tell(admit::Event::Tick, 350)), [(3, retry::Reason::TooLate)]);
-    assert_eq!(bench.gate.wake(), None);
+    assert_eq!(bench.gate.next_tick(), None);
 }
 
 #[rstest]
@@ -266,9 +266,9 @@
     (1..=4).for_each(|ticket| drop(bench.arrive(ticket, BROWSE, 9000, 0)));
     bench.tell(admit::Event::Shed { ticket: admit::Ticket(4) }, 1);
     bench.end(3, 100);
-    assert_eq!((bench.gate.load().slots, bench.gate.load().service), (3, 100_000));
+    assert_eq!((bench.gate.load().slots, bench.gate.load().service_us), (3, 100_000));
     bench.tell(admit::Event::Restart, 101);
-    assert_eq!((bench.gate.load().slots, bench.gate.load().service), (4, 0));
+    assert_eq!((bench.gate.load().slots, bench.gate.load().service_us), (4, 0));
 }
 
 /// A call that a running one waits for.
@@ -314,7 +314,7 @@
 
 #[test]
 fn a_load_is_read_back_from_its_text() {
-    let load = admit::Load { running: 7, waiting: 3, slots: 9, service: 1500 };
+    let load = admit::Load { running: 7, waiting: 3, slots: 9, service_us: 1500 };
     assert_eq!(load.to_string(), "7/3/9/1500");
     assert_eq!("7/3/9/1500".parse(), Ok(load));
     assert_eq!("7/3/9".parse::<admit::Load>(), Err(admit::Malformed));
@@ -327,18 +327,18 @@
     bench.arrive(0, BROWSE, 10_000, 0);
     bench.end(0, 90);
     (1..9).for_each(|ticket| drop(bench.arrive(ticket, BROWSE, 10_000, 90)));
-    let pause = bench.gate.pause(admit::Ticket(9), at(90));
+    let pause = bench.gate.retry_after(admit::Ticket(9), at(90));
     assert!(pause >= time::Duration::from_millis(10), "{pause:?}");
     assert!(pause <= time::Duration::from_millis(20), "{pause:?}");
 }
 
 #[test]
 fn a_wait_before_the_gate_is_told_as_calls_that_wait() {
-    let load = admit::Load { running: 7, waiting: 3, slots: 9, service: 100_000 };
+    let load = admit::Load { running: 7, waiting: 3, slots: 9, service_us: 100_000 };
     assert_eq!(load.and_wait(0.0), load);
     assert_eq!(load.and_wait(200_000.0).waiting, 3 + 18);
     assert_eq!(load.and_wait(f32::MAX).waiting, u16::MAX);
-    let fresh = admit::Load { service: 0, ..load };
+    let fresh = admit::Load { service_us: 0, ..load };
     assert_eq!(fresh.and_wait(200_000.0), fresh, "nothing to compare it with");
 }
 
--- a/src/admit/width.rs
+++ b/src/admit/width.rs
@@ -39,7 +39,7 @@
 
 impl Width {
     pub(super) fn new(limits: &admit::Limits) -> Self {
-        let width = limits.width();
+        let width = limits.concurrency();
         let (now, before) = (Span::default(), Span::default());
         Self { announced: width, learned: width, ended: 0, now, before }
     }
@@ -51,7 +51,7 @@
 
     /// Takes in new limits; what was learned is kept when the announced width stays.
     pub(super) fn announce(&mut self, limits: &admit::Limits) {
-        if limits.width() != self.announced {
+        if limits.concurrency() != self.announced {
             *self = Self::new(limits);
         }
     }
--- a/src/bench/policies/model.rs
+++ b/src/bench/policies/model.rs
@@ -167,7 +167,7 @@
         }
         let call = Call { entry, kind, since: self.now, attempt: 0, choice: None, counted };
         self.calls.push(call);
-        self.entries[entry].budget.arrived();
+        self.entries[entry].budget.record_arrival();
         let call = self.calls.len() - 1;
         self.push(kind.patience().as_micros() as u64, Event::Expire { call });
         self.attempt(call, &[]);
@@ -227,7 +227,7 @@
             }
         }
         self.actions = actions;
-        if let Some(wake) = self.upstreams[at].gate.wake() {
+        if let Some(wake) = self.upstreams[at].gate.next_tick() {
             let at_most = wake.max(self.now + time::Duration::from_millis(1));
             if self.upstreams[at].wake.is_none_or(|set| set <= self.now || at_most < set) {
                 self.upstreams[at].wake = Some(at_most);
@@ -295,7 +295,8 @@
     ) -> Option<pick::Choice> {
         let one = &mut self.calls[call];
         let (choice, since) = one.choice?;
-        let report = pick::Report { outcome, load, pace: None, latency: self.now.since(since) };
+        let report =
+            pick::Report { outcome, load, relative_time: None, latency: self.now.since(since) };
         self.entries[one.entry].picker.ended(choice, &report, self.now);
         Some(choice)
     }
@@ -310,17 +311,17 @@
         let state = retry::Call {
             idempotent: one.kind == setup::Kind::Browse,
             attempt: one.attempt,
-            attempts: if self.case.retry == case::Retry::None { 1 } else { ATTEMPTS },
+            max_attempts: if self.case.retry == case::Retry::None { 1 } else { ATTEMPTS },
             depth: 0,
-            outer: 1,
+            outer_attempt: 1,
             deadline: one.since + one.kind.patience(),
-            answered: 0,
-            held: true,
+            answered_bytes: 0,
+            buffered: true,
             host: one.choice.take().map(|(choice, _)| choice.host),
             retry_after,
         };
         let budget = &mut self.entries[one.entry].budget;
-        match retry::next(&state, outcome, budget, self.now) {
+        match retry::decide(&state, outcome, budget, self.now) {
             retry::Decision::Again { avoid } => self.attempt(call, avoid.as_slice()),
             retry::Decision::Final { outcome, .. } => self.close(call, outcome),
         }
--- a/src/bench/policies/setup.rs
+++ b/src/bench/policies/setup.rs
@@ -43,7 +43,7 @@
 
 /// What every call asks for.
 pub(super) const TARGET: pick::Target =
-    pick::Target { service: mesh::ServiceKey(0), class: None, side: rollout::Side::Any };
+    pick::Target { service: mesh::ServiceKey(0), class: None, group: rollout::VersionGroup::Any };
 
 const ZONES: [&str; 4] = ["a", "b", "c", "d"];
 const CONNECTIONS: u16 = 130;
--- a/src/member/quarantined.rs
+++ b/src/member/quarantined.rs
@@ -63,7 +63,7 @@
 
     /// Drops what says nothing any more.
     pub fn forget(&mut self, now: clock::Instant) {
-        self.changed |= self.table.forget(now);
+        self.changed |= self.table.expire(now);
     }
 
     /// The end of the upstream beside this host, at which `prints` ran.
@@ -106,7 +106,7 @@
     }
 
     fn note_answer(&mut self, print: quarantine::Fingerprint) {
-        let ends = self.quarantine.table.clear(print, self.now);
+        let ends = self.quarantine.table.record_answer(print, self.now);
         self.quarantine.changed |= ends > 0;
         // One end proves nothing anywhere: its excuse would only be traffic.
         if ends >= quarantine::SUSPICION_THRESHOLD {
@@ -116,7 +116,7 @@
 
     fn note_end(&mut self, end: quarantine::Crash) {
         let id = end.id;
-        if self.quarantine.table.note(end, self.now) {
+        if self.quarantine.table.record_crash(end, self.now) {
             self.quarantine.changed = true;
             self.spread(rumors::Topic::Crash(id), rumors::Rank::Urgent, 0);
         }
--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -167,7 +167,7 @@
 impl Rollout {
     /// Whether `other` asks for the same.
     pub fn is_like(&self, other: &Self) -> bool {
-        self.service == other.service && self.order.is_like(&other.order)
+        self.service == other.service && self.order.has_same_goal(&other.order)
     }
 }
 
--- a/src/pick/mod.rs
+++ b/src/pick/mod.rs
@@ -41,7 +41,7 @@
     /// Class whose upstreams run it; `None` allows every upstream of the service.
     pub class: Option<mesh::ClassKey>,
     /// Which versions of them run it.
-    pub side: rollout::Side,
+    pub group: rollout::VersionGroup,
 }
 
 /// What a call costs on its way, as the share of an upstream's slots that it is worth waiting for
@@ -49,17 +49,17 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TransferCost {
     /// To another availability zone.
-    pub cross: f32,
+    pub cross_zone: f32,
     /// Time that its bytes take up the link of a host, in microseconds; a call that stays on its
     /// host takes up none.
-    pub link: f32,
+    pub link_us: f32,
     /// Whether a running call waits for it, so that it goes before new work at the upstream.
     pub inner: bool,
 }
 
 impl TransferCost {
     /// No way costs anything.
-    pub const FREE: TransferCost = TransferCost { cross: 0.0, link: 0.0, inner: false };
+    pub const FREE: TransferCost = TransferCost { cross_zone: 0.0, link_us: 0.0, inner: false };
 
     /// The toll of a call to an upstream in `tier` whose service time, in microseconds, is
     /// `service`.
@@ -67,11 +67,11 @@
         /// Service time of an upstream that has answered no call yet, in microseconds: in the
         /// middle of those of the users' services, 15 to 290 ms.
         const USUAL: f32 = 100_000.0;
-        let link = self.link / service.unwrap_or(USUAL);
+        let link = self.link_us / service.unwrap_or(USUAL);
         match tier {
             0 => 0.0,
             table::AWAY => link,
-            _ => link + self.cross,
+            _ => link + self.cross_zone,
         }
     }
 }
@@ -84,7 +84,7 @@
     /// Its key.
     pub key: PeerKey,
     /// Whether it stands in this node's availability zone.
-    pub near: bool,
+    pub same_zone: bool,
     /// What it was picked for.
     pub target: Target,
 }
@@ -97,7 +97,7 @@
     /// Load that came back with the answer.
     pub load: Option<admit::Load>,
     /// Time that the upstream took, as a multiple of that of all upstreams for calls of its kind.
-    pub pace: Option<f32>,
+    pub relative_time: Option<f32>,
     /// Time from start to end of the attempt.
     pub latency: time::Duration,
 }
--- a/src/pick/peer.rs
+++ b/src/pick/peer.rs
@@ -106,9 +106,9 @@
     outstanding: u16,
     told: Option<Told>,
     /// Mean service time that its gate measured, in microseconds; 0 while unknown.
-    service: u32,
+    service_us: u32,
     /// Its time for a call as a multiple of that of all upstreams, and when that was seen last.
-    pace: (f32, clock::Instant),
+    relative_time: (f32, clock::Instant),
     breaker: outlier::Breaker,
 }
 
@@ -127,8 +127,8 @@
             warming: None,
             outstanding: 0,
             told: None,
-            service: 0,
-            pace: (1.0, clock::Instant::ZERO),
+            service_us: 0,
+            relative_time: (1.0, clock::Instant::ZERO),
             breaker: outlier::Breaker::new(),
         }
     }
@@ -145,8 +145,8 @@
     ) {
         if (self.incarnation, self.life) != (host.incarnation, upstream.incarnation) {
             self.told = None;
-            self.service = 0;
-            self.pace = (1.0, now);
+            self.service_us = 0;
+            self.relative_time = (1.0, now);
             self.breaker = outlier::Breaker::new();
             self.warming = None;
         }
@@ -182,12 +182,12 @@
     }
 
     /// Mean service time that its gate measured, in microseconds; `None` while unknown.
-    pub fn service(&self) -> Option<f32> {
-        (self.service > 0).then_some(self.service as f32)
+    pub fn service_us(&self) -> Option<f32> {
+        (self.service_us > 0).then_some(self.service_us as f32)
     }
 
     /// Running and waiting calls that its last answer told, of every entry, however old.
-    pub fn told(&self) -> u16 {
+    pub fn reported_calls(&self) -> u16 {
         self.told.map_or(0, |t| t.total)
     }
 
@@ -219,8 +219,8 @@
 
     /// Its time for a call as a multiple of that of all upstreams; what was seen is forgotten, so that
     /// one that was slow for a while is tried again.
-    fn pace(&self, now: clock::Instant) -> f32 {
-        let (pace, at) = self.pace;
+    fn relative_time(&self, now: clock::Instant) -> f32 {
+        let (pace, at) = self.relative_time;
         let age = now.since(at).as_micros() as f32;
         1.0 + (pace - 1.0) * (-age / PACE_HALF).exp2()
     }
@@ -235,7 +235,7 @@
     pub(super) fn cost(&self, inner: bool, rules: &Rules, now: clock::Instant) -> f32 {
         let fullness = self.fullness(rules, now);
         let turns = (fullness - WAITS).max(0.0) * if inner { INNER_WAIT } else { 1.0 };
-        self.pace(now) * (fullness.min(WAITS) + turns)
+        self.relative_time(now) * (fullness.min(WAITS) + turns)
     }
 
     /// Whether one more call would find the queue at its node full, or next to it.
@@ -281,9 +281,9 @@
         if let Some(load) = report.load {
             self.tell(load, now);
         }
-        if let Some(pace) = report.pace {
-            let known = self.pace(now);
-            self.pace = (known + (pace - known) / SMOOTHING, now);
+        if let Some(pace) = report.relative_time {
+            let known = self.relative_time(now);
+            self.relative_time = (known + (pace - known) / SMOOTHING, now);
         }
         match verdict(report.outcome) {
             Verdict::Good if self.is_slow(crowd, rules) => self.breaker.eject(&rules.breaker, now),
@@ -301,7 +301,7 @@
 
     fn is_slow(&self, crowd: &Crowd, rules: &Rules) -> bool {
         let limit = crowd.service.map(|usual| usual * rules.slow + SLACK);
-        let slow = limit.zip(self.service()).is_some_and(|(limit, own)| own > limit);
+        let slow = limit.zip(self.service_us()).is_some_and(|(limit, own)| own > limit);
         slow && crowd.spare
     }
 
@@ -311,7 +311,7 @@
         let fresh = f32::from(others);
         let usual = self.told.map_or(fresh, |t| t.usual + (fresh - t.usual) / SMOOTHING);
         self.told = Some(Told { others, total, usual, slots: load.slots, at: now });
-        self.service = load.service;
+        self.service_us = load.service_us;
     }
 }
 
--- a/src/pick/picker.rs
+++ b/src/pick/picker.rs
@@ -71,7 +71,7 @@
 
     /// Tells `host`, the entry's own, apart from others of its zone: calls that stay on it pay
     /// nothing for the way.
-    pub fn at(mut self, host: host::HostId) -> Self {
+    pub fn with_host(mut self, host: host::HostId) -> Self {
         self.stand.host = Some(host);
         self
     }
@@ -100,14 +100,14 @@
         now: clock::Instant,
         avoid: &[host::HostId],
     ) -> Option<pick::Choice> {
-        self.pick_far(target, pick::TransferCost::FREE, now, avoid)
+        self.pick_with_cost(target, pick::TransferCost::FREE, now, avoid)
     }
 
     /// The same for a call that pays `toll` outside its own availability zone.
     ///
     /// Heavy calls stay where they are until waiting there costs more than the way; light ones with
     /// long work are what leaves a zone that is full.
-    pub fn pick_far(
+    pub fn pick_with_cost(
         &mut self,
         target: pick::Target,
         toll: pick::TransferCost,
@@ -118,7 +118,12 @@
         let usual = self.pick_usual(target, toll, now, avoid);
         let (index, tier) = usual.or_else(|| self.pick_any(target, avoid))?;
         let host = self.table.peers[index as usize].host();
-        Some(pick::Choice { host, key: self.table.key(index), near: tier < table::FAR, target })
+        Some(pick::Choice {
+            host,
+            key: self.table.key(index),
+            same_zone: tier < table::FAR,
+            target,
+        })
     }
 
     /// Notes that an attempt at `choice` has started.
@@ -156,7 +161,7 @@
         let mut best: Option<(u32, usize, f32)> = None;
         let mut waits = true;
         // A heavy call is too dear to be sent away only to see what it is like there.
-        let light = toll.cross < peer::WAITS;
+        let light = toll.cross_zone < peer::WAITS;
         let explores = light && self.rng.random_ratio(1, EXPLORE);
         let first = if explores { table::FAR } else { 0 };
         for tier in (first..table::TIERS).chain(0..first) {
@@ -193,7 +198,7 @@
             .list(target)
             .map_or(0, |list| (0..table::FAR).map(|tier| list.tier(tier).len()).sum());
         let factor = (near as f32 / FEW_NEAR).clamp(1.0, MOST_WEIGHT);
-        pick::TransferCost { cross: toll.cross * factor, ..toll }
+        pick::TransferCost { cross_zone: toll.cross_zone * factor, ..toll }
     }
 
     /// The best of all upstreams in the availability zone, with its cost.
@@ -229,7 +234,7 @@
         now: clock::Instant,
     ) -> f32 {
         let refusal = if peer.brims(&self.rules, now) { REFUSAL } else { 0.0 };
-        refusal + toll.of(tier, peer.service())
+        refusal + toll.of(tier, peer.service_us())
     }
 
     /// The candidates of a call in `tier` of `list`.
--- a/src/pick/policy.rs
+++ b/src/pick/policy.rs
@@ -77,7 +77,7 @@
     ) -> Option<usize> {
         let free = |place: &usize| {
             let peer = pool.peer(*place);
-            peer.slots().saturating_sub(peer.told())
+            peer.slots().saturating_sub(peer.reported_calls())
         };
         let place = places(pool, 0).rev().max_by_key(free)?;
         (free(&place) > 0).then_some(place)
--- a/src/pick/table.rs
+++ b/src/pick/table.rs
@@ -105,7 +105,7 @@
         let ejected = members().filter(|p| p.is_ejected()).count();
         let spare = (ejected + 1) * 2 <= self.members.len();
         self.services.clear();
-        let known = self.members.iter().filter_map(|&i| peers[i as usize].service());
+        let known = self.members.iter().filter_map(|&i| peers[i as usize].service_us());
         self.services.extend(known);
         peer::Crowd { service: lower_median(&mut self.services), spare }
     }
@@ -143,25 +143,25 @@
 }
 
 impl Sides {
-    const fn list(&self, side: rollout::Side) -> &List {
+    const fn list(&self, side: rollout::VersionGroup) -> &List {
         match side {
-            rollout::Side::Any => &self.any,
-            rollout::Side::New => &self.new,
-            rollout::Side::Old => &self.old,
+            rollout::VersionGroup::Any => &self.any,
+            rollout::VersionGroup::New => &self.new,
+            rollout::VersionGroup::Old => &self.old,
         }
     }
 
-    const fn list_mut(&mut self, side: rollout::Side) -> &mut List {
+    const fn list_mut(&mut self, side: rollout::VersionGroup) -> &mut List {
         match side {
-            rollout::Side::Any => &mut self.any,
-            rollout::Side::New => &mut self.new,
-            rollout::Side::Old => &mut self.old,
+            rollout::VersionGroup::Any => &mut self.any,
+            rollout::VersionGroup::New => &mut self.new,
+            rollout::VersionGroup::Old => &mut self.old,
         }
     }
 
     /// Adds a peer of the versions `side`.
-    fn push(&mut self, side: rollout::Side, index: u32, tier: usize) {
-        if side != rollout::Side::Any {
+    fn push(&mut self, side: rollout::VersionGroup, index: u32, tier: usize) {
+        if side != rollout::VersionGroup::Any {
             self.list_mut(side).push(index, tier);
         }
         self.any.push(index, tier);
@@ -181,7 +181,7 @@
             Some(class) => self.classes.get(usize::from(class.0)),
             None => self.services.get(usize::from(target.service.0)),
         };
-        sides.map(|sides| sides.list(target.side))
+        sides.map(|sides| sides.list(target.group))
     }
 
     /// The list that serves `target`, to move its turns.
@@ -190,7 +190,7 @@
             Some(class) => self.classes.get_mut(usize::from(class.0)),
             None => self.services.get_mut(usize::from(target.service.0)),
         };
-        sides.map(|sides| sides.list_mut(target.side))
+        sides.map(|sides| sides.list_mut(target.group))
     }
 
     /// What the peers that serve `target` say.
@@ -199,7 +199,7 @@
             Some(class) => self.classes.get_mut(usize::from(class.0)),
             None => self.services.get_mut(usize::from(target.service.0)),
         };
-        let list = sides.map(|sides| sides.list_mut(target.side));
+        let list = sides.map(|sides| sides.list_mut(target.group));
         list.map(|l| l.crowd(&self.peers, good, self.turned)).unwrap_or_default()
     }
 
@@ -231,7 +231,7 @@
         self.reset(mesh);
         for (key, class) in mesh.classes.iter().enumerate() {
             let service = mesh.service(class.service);
-            let mut sides = rollouts.sides(&service.name, now);
+            let mut sides = rollouts.classifier(&service.name, now);
             for host in view.upstreams(&service.name) {
                 let Some(upstream) = &host.upstream else { continue };
                 if upstream.class != class.name {
@@ -243,7 +243,7 @@
                 let tier = stand.tier(host);
                 let open =
                     host.health == view::Health::Alive && upstream.phase != view::Phase::Draining;
-                let Some(side) = sides.of(&upstream.version, open) else { continue };
+                let Some(side) = sides.group_of(&upstream.version, open) else { continue };
                 self.classes[key].push(side, index, tier);
                 self.services[usize::from(class.service.0)].push(side, index, tier);
             }
--- a/src/pick/tests.rs
+++ b/src/pick/tests.rs
@@ -20,7 +20,7 @@
 use crate::view;
 
 const SHOP: pick::Target =
-    pick::Target { service: mesh::ServiceKey(0), class: None, side: rollout::Side::Any };
+    pick::Target { service: mesh::ServiceKey(0), class: None, group: rollout::VersionGroup::Any };
 const GONE: retry::Outcome = retry::Outcome::NotRun(retry::Reason::Unreachable);
 
 fn at(millis: u64) -> clock::Instant {
@@ -99,9 +99,9 @@
 }
 
 fn report(outcome: retry::Outcome, service: u32) -> pick::Report {
-    let load = admit::Load { running: 0, waiting: 0, slots: 9, service };
+    let load = admit::Load { running: 0, waiting: 0, slots: 9, service_us: service };
     let load = (outcome != GONE).then_some(load);
-    pick::Report { outcome, load, pace: None, latency: time::Duration::from_millis(1) }
+    pick::Report { outcome, load, relative_time: None, latency: time::Duration::from_millis(1) }
 }
 
 /// One call that ends at once with `outcome`; the host that was picked.
@@ -152,8 +152,8 @@
     let mut started = 0;
     while let Some(choice) = picker.pick(SHOP, at(0), &[]) {
         picker.started(choice, at(0));
-        started += u32::from(choice.near);
-        if !choice.near && started >= 9 {
+        started += u32::from(choice.same_zone);
+        if !choice.same_zone && started >= 9 {
             break;
         }
     }
@@ -360,22 +360,23 @@
 }
 
 fn crossing(cross: f32) -> pick::TransferCost {
-    pick::TransferCost { cross, ..pick::TransferCost::FREE }
+    pick::TransferCost { cross_zone: cross, ..pick::TransferCost::FREE }
 }
 
 /// Share of 100 calls that stay on the entry's own host, with `busy` of its nine slots taken, when
 /// their bytes take `link_ms` on the link of another one.
 fn kept(link_ms: f32, busy: u16) -> usize {
     let settings = configs::call::Call::default();
-    let mut picker = pick::Picker::new(place("a"), &settings, 7).at(id(1));
+    let mut picker = pick::Picker::new(place("a"), &settings, 7).with_host(id(1));
     rebuild(&mut picker, serving(&["a", "a", "a"]), 0);
-    let toll = pick::TransferCost { link: link_ms * 1000.0, ..pick::TransferCost::FREE };
-    let heavy = pick::TransferCost { link: 1e9, ..pick::TransferCost::FREE };
+    let toll = pick::TransferCost { link_us: link_ms * 1000.0, ..pick::TransferCost::FREE };
+    let heavy = pick::TransferCost { link_us: 1e9, ..pick::TransferCost::FREE };
     for _ in 0..busy {
-        let choice = picker.pick_far(SHOP, heavy, at(0), &[]).expect("a choice");
+        let choice = picker.pick_with_cost(SHOP, heavy, at(0), &[]).expect("a choice");
         picker.started(choice, at(0));
     }
-    let pick = |picker: &mut pick::Picker| picker.pick_far(SHOP, toll, at(0), &[]).map(|c| c.host);
+    let pick =
+        |picker: &mut pick::Picker| picker.pick_with_cost(SHOP, toll, at(0), &[]).map(|c| c.host);
     (0..100).filter(|_| pick(&mut picker) == Some(id(1))).count()
 }
 
@@ -395,10 +396,12 @@
 fn crossed(toll: pick::TransferCost, full: u16) -> usize {
     let mut picker = picker(serving(&["a", "b", "b"]));
     for _ in 0..9 * full {
-        let choice = picker.pick_far(SHOP, crossing(1000.0), at(0), &[]).expect("a choice");
+        let choice = picker.pick_with_cost(SHOP, crossing(1000.0), at(0), &[]).expect("a choice");
         picker.started(choice, at(0));
     }
-    (0..100).filter(|_| !picker.pick_far(SHOP, toll, at(0), &[]).expect("a choice").near).count()
+    (0..100)
+        .filter(|_| !picker.pick_with_cost(SHOP, toll, at(0), &[]).expect("a choice").same_zone)
+        .count()
 }
 
 #[rstest]
@@ -417,7 +420,7 @@
 #[test]
 fn a_heavy_call_leaves_a_zone_without_upstreams() {
     let mut picker = picker(serving(&["b"]));
-    assert!(picker.pick_far(SHOP, crossing(1000.0), at(0), &[]).is_some());
+    assert!(picker.pick_with_cost(SHOP, crossing(1000.0), at(0), &[]).is_some());
 }
 
 /// A zone whose queue is about to overflow refuses what the next zone can serve.
@@ -428,11 +431,11 @@
     let mut picker = picker(serving(&["a", "b", "b"]));
     let queue = shop().services[0].queue;
     for _ in 0..9 + queue {
-        let choice = picker.pick_far(SHOP, crossing(1000.0), at(0), &[]).expect("a choice");
+        let choice = picker.pick_with_cost(SHOP, crossing(1000.0), at(0), &[]).expect("a choice");
         picker.started(choice, at(0));
     }
-    let choice = picker.pick_far(SHOP, crossing(toll), at(0), &[]).expect("a choice");
-    assert_eq!(usize::from(!choice.near), wanted);
+    let choice = picker.pick_with_cost(SHOP, crossing(toll), at(0), &[]).expect("a choice");
+    assert_eq!(usize::from(!choice.same_zone), wanted);
 }
 
 /// How many of 100 calls leave a zone of 18 upstreams, all but one of them taken up three times over.
@@ -442,14 +445,17 @@
     for full in (1..18).map(id) {
         let others: Vec<host::HostId> = (1..=36).map(id).filter(|host| *host != full).collect();
         for _ in 0..27 {
-            let choice =
-                picker.pick_far(SHOP, pick::TransferCost::FREE, at(0), &others).expect("a choice");
+            let choice = picker
+                .pick_with_cost(SHOP, pick::TransferCost::FREE, at(0), &others)
+                .expect("a choice");
             assert_eq!(choice.host, full);
             picker.started(choice, at(0));
         }
     }
     (0..100)
-        .filter(|_| !picker.pick_far(SHOP, crossing(1.0), at(0), &[]).expect("a choice").near)
+        .filter(|_| {
+            !picker.pick_with_cost(SHOP, crossing(1.0), at(0), &[]).expect("a choice").same_zone
+        })
         .count()
 }
 
@@ -470,13 +476,15 @@
         let others: Vec<host::HostId> =
             (1..=2 * near).map(id).filter(|host| *host != full).collect();
         for _ in 0..9 * turns {
-            let choice =
-                picker.pick_far(SHOP, pick::TransferCost::FREE, at(0), &others).expect("a choice");
+            let choice = picker
+                .pick_with_cost(SHOP, pick::TransferCost::FREE, at(0), &others)
+                .expect("a choice");
             picker.started(choice, at(0));
         }
     }
-    let leaves =
-        |_: &i32| !picker.pick_far(SHOP, crossing(1.0), at(0), &[]).expect("a choice").near;
+    let leaves = |_: &i32| {
+        !picker.pick_with_cost(SHOP, crossing(1.0), at(0), &[]).expect("a choice").same_zone
+    };
     (0..100).filter(leaves).count()
 }
 
@@ -499,13 +507,13 @@
     let mut picker = picker(vec![host(1, "a", view::Phase::Serving)]);
     call(&mut picker, retry::Outcome::Ran, 0);
     let choice = picker.pick(SHOP, at(1), &[]).expect("a choice");
-    assert_eq!(picker.peer(choice).expect("known").service(), Some(1000.0));
+    assert_eq!(picker.peer(choice).expect("known").service_us(), Some(1000.0));
     let mut again = host(1, "a", view::Phase::Warming);
     let upstream = again.upstream.take().expect("an upstream");
     again.upstream = Some(Arc::new(view::Upstream { incarnation: 1, ..(*upstream).clone() }));
     rebuild(&mut picker, vec![again], 2);
     let choice = picker.pick(SHOP, at(2), &[]).expect("a choice");
-    assert_eq!(picker.peer(choice).expect("known").service(), None);
+    assert_eq!(picker.peer(choice).expect("known").service_us(), None);
 }
 
 /// A picker for two upstreams in one zone, the second of which takes `pace` times as long.
@@ -516,10 +524,10 @@
         let choice = picker.pick(SHOP, at(round), &[other]).expect("a choice");
         picker.started(choice, at(round));
         let pace = if choice.host == id(2) { pace } else { 1.0 };
-        let load = admit::Load { running: 0, waiting: 0, slots: 9, service: 1000 };
+        let load = admit::Load { running: 0, waiting: 0, slots: 9, service_us: 1000 };
         let latency = time::Duration::from_millis(1);
         let outcome = retry::Outcome::Ran;
-        let report = pick::Report { outcome, load: Some(load), pace: Some(pace), latency };
+        let report = pick::Report { outcome, load: Some(load), relative_time: Some(pace), latency };
         picker.ended(choice, &report, at(round));
     }
     picker
@@ -530,7 +538,7 @@
     let toll = pick::TransferCost { inner, ..pick::TransferCost::FREE };
     let mut picked = 0;
     for _ in 0..36 {
-        let choice = picker.pick_far(SHOP, toll, at(millis), &[]).expect("a choice");
+        let choice = picker.pick_with_cost(SHOP, toll, at(millis), &[]).expect("a choice");
         picker.started(choice, at(millis));
         picked += usize::from(choice.host == id(2));
     }
@@ -562,17 +570,17 @@
 fn left_for_a_faster(calls: u16) -> usize {
     let mut picker = picker(serving(&["a", "b"]));
     for round in 0..100 {
-        let choice = picker.pick_far(SHOP, crossing(1.0), at(round), &[]).expect("a choice");
+        let choice = picker.pick_with_cost(SHOP, crossing(1.0), at(round), &[]).expect("a choice");
         picker.started(choice, at(round));
-        let load = admit::Load { running: 0, waiting: 0, slots: 9, service: 1000 };
+        let load = admit::Load { running: 0, waiting: 0, slots: 9, service_us: 1000 };
         let latency = time::Duration::from_millis(1);
         let outcome = retry::Outcome::Ran;
-        let report = pick::Report { outcome, load: Some(load), pace: Some(3.0), latency };
+        let report = pick::Report { outcome, load: Some(load), relative_time: Some(3.0), latency };
         picker.ended(choice, &report, at(round));
     }
     let mut left = 0;
     for _ in 0..calls {
-        let choice = picker.pick_far(SHOP, crossing(1.0), at(100), &[]).expect("a choice");
+        let choice = picker.pick_with_cost(SHOP, crossing(1.0), at(100), &[]).expect("a choice");
         picker.started(choice, at(100));
         left += usize::from(choice.host == id(2));
     }
--- a/src/proxy/guard.rs
+++ b/src/proxy/guard.rs
@@ -125,7 +125,7 @@
         match outcome {
             retry::Outcome::Ran => outcome,
             retry::Outcome::NotRun(reason) => trip.end(retry::Event::Refused(reason)),
-            retry::Outcome::Unknown(reason) => trip.end(retry::Event::Doubtful(reason)),
+            retry::Outcome::Unknown(reason) => trip.end(retry::Event::PossiblyRan(reason)),
         }
     }
 
--- a/src/proxy/job.rs
+++ b/src/proxy/job.rs
@@ -82,10 +82,14 @@
 
     /// What to pick for `side`, in the keys of the configuration that the picker's table was built
     /// from. `None` when a newer configuration no longer has it.
-    fn target(&self, current: &Arc<mesh::Applied>, side: rollout::Side) -> Option<pick::Target> {
+    fn target(
+        &self,
+        current: &Arc<mesh::Applied>,
+        side: rollout::VersionGroup,
+    ) -> Option<pick::Target> {
         if Arc::ptr_eq(&self.applied, current) {
             let class = self.class().and(self.route().class);
-            return Some(pick::Target { service: self.service, class, side });
+            return Some(pick::Target { service: self.service, class, group: side });
         }
         let mesh = &current.mesh;
         let service = mesh.services.iter().position(|s| s.name == self.service().name)?;
@@ -97,7 +101,7 @@
         Some(pick::Target {
             service: mesh::ServiceKey(key(service)?),
             class: class.and_then(key).map(mesh::ClassKey),
-            side,
+            group: side,
         })
     }
 
@@ -167,7 +171,7 @@
                 // What is allowed at a service is a share of callers' calls; those of running calls may be
                 // three times as many and would let it be called again beyond that.
                 if !job.inner {
-                    state.budget(job.service(), retry::Budget::served);
+                    state.budget(job.service(), retry::Budget::record_served);
                 }
                 return Ok(answer);
             }
@@ -213,17 +217,17 @@
     let call = retry::Call {
         idempotent: job.kind().idempotent,
         attempt,
-        attempts: job.kind().attempts.unwrap_or(state.settings.call.attempts),
+        max_attempts: job.kind().attempts.unwrap_or(state.settings.call.attempts),
         depth: job.ask.depth.max(u8::from(job.inner)),
-        outer: job.ask.outer,
+        outer_attempt: job.ask.outer,
         deadline: job.deadline,
-        answered: 0,
-        held: job.intake.repeats(),
+        answered_bytes: 0,
+        buffered: job.intake.repeats(),
         host: failed.host,
         retry_after: failed.refusal.retry_after,
     };
     let now = state.ctx.now();
-    state.budget(job.service(), |budget| retry::next(&call, failed.refusal.outcome, budget, now))
+    state.budget(job.service(), |budget| retry::decide(&call, failed.refusal.outcome, budget, now))
 }
 
 /// Logs an attempt that failed and what follows from it.
@@ -273,7 +277,7 @@
     } else {
         remote(state, job, choice.host, request, hold).await
     };
-    note(state, job, choice.target.side, &result);
+    note(state, job, choice.target.group, &result);
     if let Ok(answer) = &result {
         let bytes = answer.body().size_hint();
         let bytes = bytes.exact().unwrap_or(bytes.lower());
@@ -296,7 +300,7 @@
     let current = state.applied();
     let pick = |side| {
         let target = job.target(&current, side)?;
-        state.picker.borrow_mut().pick_far(target, toll, now, avoid)
+        state.picker.borrow_mut().pick_with_cost(target, toll, now, avoid)
     };
     let side = state.rollouts.next(service, now);
     pick(side).or_else(|| pick(state.rollouts.instead(service, side)?))
@@ -306,10 +310,10 @@
 fn note<C: claim::Claims>(
     state: &state::State<C>,
     job: &Job,
-    side: rollout::Side,
+    side: rollout::VersionGroup,
     result: &Result<http::Response<body::Reply>, refuse::Refusal>,
 ) {
-    if side != rollout::Side::Old {
+    if side != rollout::VersionGroup::Old {
         return;
     }
     if let Some(result) = state.evidence(&job.kind().name, result) {
@@ -323,7 +327,7 @@
     let bytes = job.intake.bytes() + state.sizes.borrow().expect(&job.kind().name);
     let cross = if cheap == 0 { 0.0 } else { bytes as f32 / cheap as f32 };
     let link = inflow::link_time(&state.settings.proxy, bytes);
-    pick::TransferCost { cross, link, inner: job.inner }
+    pick::TransferCost { cross_zone: cross, link_us: link, inner: job.inner }
 }
 
 /// A body that ended early is the reason for whatever followed from it.
--- a/src/proxy/slots.rs
+++ b/src/proxy/slots.rs
@@ -181,7 +181,7 @@
     /// When a place may be free for a call that was let in and then shed.
     pub fn pause(&self) -> time::Duration {
         let ticket = admit::Ticket(self.next.replace(self.next.get() + 1));
-        self.gate.borrow().pause(ticket, self.ctx.now())
+        self.gate.borrow().retry_after(ticket, self.ctx.now())
     }
 
     /// The upstream's load.
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -136,7 +136,7 @@
         let place = view::Locality { region: settings.region.clone(), zone: settings.zone.clone() };
         let mut picker = pick::Picker::new(place, &settings.call, ctx.seed_for("pick"));
         if settings.proxy.link_mbps > 0.0 {
-            picker = picker.at(me);
+            picker = picker.with_host(me);
         }
         let seal = seal::Seal::new(&settings.mesh, &settings.key);
         let ends = Rc::<ends::Ends>::default();
@@ -322,7 +322,7 @@
         }
         match budgets.get_mut(&service.name) {
             Some(budget) => {
-                budget.limit(service.retries, burst);
+                budget.set_limits(service.retries, burst);
                 with(budget)
             }
             None => with(&mut retry::Budget::new(0, 0)),
--- a/src/proxy/suspects.rs
+++ b/src/proxy/suspects.rs
@@ -16,7 +16,7 @@
     me: host::HostId,
     side: quarantine::CallSide,
     known: RefCell<Arc<quarantine::Snapshot>>,
-    proven: RefCell<quarantine::Proven>,
+    proven: RefCell<quarantine::RecentAnswers>,
 }
 
 impl Suspects {
@@ -34,7 +34,10 @@
     }
 
     fn take(&self, known: &Arc<quarantine::Snapshot>) {
-        self.side.counts.held.set(i64::try_from(known.held()).unwrap_or(i64::MAX));
+        self.side
+            .counts
+            .quarantined
+            .set(i64::try_from(known.quarantined_count()).unwrap_or(i64::MAX));
         self.known.replace(Arc::clone(known));
     }
 
@@ -90,7 +93,7 @@
 
     /// The upstream beside this node answered `print` and lived on.
     pub fn answered(&self, print: quarantine::Fingerprint) {
-        self.proven.borrow_mut().note(print, self.ctx.now());
+        self.proven.borrow_mut().record(print, self.ctx.now());
         if self.known.borrow().is_suspected(print) {
             // A full ring drops it; the next answer says the same.
             let _ = self.side.reports.offer(quarantine::Report::Answered(print));
@@ -102,7 +105,7 @@
     pub fn ended(&self, prints: &[quarantine::Fingerprint]) {
         self.side.counts.crashes.inc();
         let (proven, now) = (self.proven.borrow(), self.ctx.now());
-        let prints = prints.iter().copied().filter(|print| !proven.has(*print, now)).collect();
+        let prints = prints.iter().copied().filter(|print| !proven.contains(*print, now)).collect();
         if self.side.reports.offer(quarantine::Report::Crashed(prints)).is_err() {
             log::warn!("the end of an upstream is not told, since too many reports wait");
         }
--- a/src/proxy/trace.rs
+++ b/src/proxy/trace.rs
@@ -195,7 +195,7 @@
             running = ran.load.running,
             waiting = ran.load.waiting,
             slots = ran.load.slots,
-            service_us = ran.load.service,
+            service_us = ran.load.service_us,
             left_ms = millis(ran.left),
             sample = SAMPLE,
             skipped;
@@ -250,7 +250,7 @@
             running = turned.load.running,
             waiting = turned.load.waiting,
             slots = turned.load.slots,
-            service_us = turned.load.service,
+            service_us = turned.load.service_us,
             target_ms = millis(turned.target),
             left_ms = millis(turned.left),
             retry_after_ms = millis(turned.after),
--- a/src/proxy/trip.rs
+++ b/src/proxy/trip.rs
@@ -47,7 +47,7 @@
 
     /// Whether it goes to a version that is not proven.
     pub fn is_tried(&self) -> bool {
-        self.choice.target.side == rollout::Side::New
+        self.choice.target.group == rollout::VersionGroup::New
     }
 
     /// Takes in what happened.
@@ -67,7 +67,7 @@
         let outcome = self.attempt.outcome().unwrap_or(unclear);
         let now = self.ctx.now();
         let latency = now.since(self.started);
-        let report = pick::Report { outcome, load: self.load, pace: self.pace, latency };
+        let report = pick::Report { outcome, load: self.load, relative_time: self.pace, latency };
         self.picker.borrow_mut().ended(self.choice, &report, now);
         outcome
     }
--- a/src/proxy/upload.rs
+++ b/src/proxy/upload.rs
@@ -198,8 +198,8 @@
     /// The body as its request's fingerprint takes it. Invariant: nothing was given out yet.
     pub fn print(&self) -> quarantine::Body<'_> {
         match self {
-            Upload::Kept(bytes) => quarantine::Body::Whole(bytes.as_deref().unwrap_or_default()),
-            Upload::Stream(..) => quarantine::Body::Streams(self.size_hint().exact()),
+            Upload::Kept(bytes) => quarantine::Body::Complete(bytes.as_deref().unwrap_or_default()),
+            Upload::Stream(..) => quarantine::Body::Streamed(self.size_hint().exact()),
         }
     }
 }
--- a/src/proxy/versions.rs
+++ b/src/proxy/versions.rs
@@ -23,8 +23,9 @@
 impl Result {
     /// Whether it speaks against the version.
     fn is_bad(&self, warm: bool) -> bool {
-        let slow =
-            |(ran, usual): (time::Duration, time::Duration)| ran > usual.mul_f32(counts::SLOW);
+        let slow = |(ran, usual): (time::Duration, time::Duration)| {
+            ran > usual.mul_f32(counts::SLOW_FACTOR)
+        };
         self.failed || (warm && self.times.is_some_and(slow))
     }
 }
@@ -67,13 +68,17 @@
     }
 
     /// The versions that serve the next call for `service`.
-    pub fn next(&self, service: &str, now: clock::Instant) -> rollout::Side {
-        self.table.borrow_mut().next(service, now)
+    pub fn next(&self, service: &str, now: clock::Instant) -> rollout::VersionGroup {
+        self.table.borrow_mut().next_group(service, now)
     }
 
     /// The versions that serve a call for `service` where `side` has no upstream.
-    pub fn instead(&self, service: &str, side: rollout::Side) -> Option<rollout::Side> {
-        self.table.borrow().instead(service, side)
+    pub fn instead(
+        &self,
+        service: &str,
+        side: rollout::VersionGroup,
+    ) -> Option<rollout::VersionGroup> {
+        self.table.borrow().fallback(service, side)
     }
 
     /// What this node believes.
@@ -88,18 +93,18 @@
 
     /// Notes what the old version answered to a call that was made here.
     pub fn note_old(&self, service: &str, result: Result) {
-        self.table.borrow_mut().note_old(service, result.is_bad(true));
+        self.table.borrow_mut().record_old(service, result.is_bad(true));
     }
 
     /// Notes what the upstream beside this node answered.
     pub fn note_own(&self, upstream: &view::Upstream, result: Result) {
-        let order = self.table.borrow().tried(&upstream.service, &upstream.version);
+        let order = self.table.borrow().trial_order(&upstream.service, &upstream.version);
         let mut trial = self.trial.get();
         if trial.order != order {
             trial = rollout::TrialReport { order, ..rollout::TrialReport::default() };
         }
         if order > 0 {
-            trial.new.note(result.is_bad(upstream.phase == view::Phase::Serving));
+            trial.new.record(result.is_bad(upstream.phase == view::Phase::Serving));
         }
         self.trial.set(trial);
     }
--- a/src/quarantine/channel.rs
+++ b/src/quarantine/channel.rs
@@ -21,7 +21,7 @@
     /// Calls refused here.
     pub refused: counter::Counter,
     /// Requests that the mesh holds responsible.
-    pub held: gauge::Gauge,
+    pub quarantined: gauge::Gauge,
 }
 
 /// The side of the calls.
--- a/src/quarantine/fingerprint.rs
+++ b/src/quarantine/fingerprint.rs
@@ -26,9 +26,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Body<'a> {
     /// It was read whole.
-    Whole(&'a [u8]),
+    Complete(&'a [u8]),
     /// It streams; its length in bytes, where that is known.
-    Streams(Option<u64>),
+    Streamed(Option<u64>),
 }
 
 /// Makes the fingerprints of one mesh.
@@ -52,9 +52,9 @@
             hasher.update(text.as_bytes());
         }
         match body {
-            Body::Whole(bytes) => hasher.update(&[0]).update(bytes),
-            Body::Streams(None) => hasher.update(&[1]),
-            Body::Streams(Some(bytes)) => hasher.update(&[2]).update(&bytes.to_le_bytes()),
+            Body::Complete(bytes) => hasher.update(&[0]).update(bytes),
+            Body::Streamed(None) => hasher.update(&[1]),
+            Body::Streamed(Some(bytes)) => hasher.update(&[2]).update(&bytes.to_le_bytes()),
         };
         let mut first = [0; 8];
         first.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -22,7 +22,7 @@
 pub use self::channel::{CallSide, Counts, MemberSide, channel};
 pub use self::entry::Entry;
 pub use self::fingerprint::{Body, Fingerprint, Fingerprinter};
-pub use self::proven::Proven;
+pub use self::proven::RecentAnswers;
 pub use self::snapshot::Snapshot;
 pub use self::table::{Crash, CrashId, Digest, Table};
 
--- a/src/quarantine/proven.rs
+++ b/src/quarantine/proven.rs
@@ -13,14 +13,14 @@
 
 /// The latest answers, each in the place that its request's fingerprint names.
 #[derive(Debug, Default)]
-pub struct Proven {
+pub struct RecentAnswers {
     /// Empty until the first answer.
     places: Vec<(quarantine::Fingerprint, clock::Instant)>,
 }
 
-impl Proven {
+impl RecentAnswers {
     /// An upstream answered `print` at `now` and lived on.
-    pub fn note(&mut self, print: quarantine::Fingerprint, now: clock::Instant) {
+    pub fn record(&mut self, print: quarantine::Fingerprint, now: clock::Instant) {
         if self.places.is_empty() {
             self.places = vec![(quarantine::Fingerprint(0), clock::Instant::ZERO); PLACES];
         }
@@ -28,7 +28,7 @@
     }
 
     /// Whether `print` was answered a short time before `now`.
-    pub fn has(&self, print: quarantine::Fingerprint, now: clock::Instant) -> bool {
+    pub fn contains(&self, print: quarantine::Fingerprint, now: clock::Instant) -> bool {
         let found = self.places.get(place(print)).filter(|(known, _)| *known == print);
         found.is_some_and(|(_, at)| *at > clock::Instant::ZERO && now.since(*at) <= FRESH)
     }
--- a/src/quarantine/snapshot.rs
+++ b/src/quarantine/snapshot.rs
@@ -17,7 +17,7 @@
 
 impl Snapshot {
     /// How many requests are held responsible for ends.
-    pub fn held(&self) -> usize {
+    pub fn quarantined_count(&self) -> usize {
         self.entries.values().filter(|ban| !ban.lifted).count()
     }
 
--- a/src/quarantine/table.rs
+++ b/src/quarantine/table.rs
@@ -85,8 +85,8 @@
     }
 
     /// Takes in the end of an upstream; `false` when it was known, or is too old to say anything.
-    pub fn note(&mut self, end: Crash, now: clock::Instant) -> bool {
-        self.forget(now);
+    pub fn record_crash(&mut self, end: Crash, now: clock::Instant) -> bool {
+        self.expire(now);
         if now.since(end.at) > AGE || self.crash(end.id).is_some() {
             return false;
         }
@@ -103,7 +103,7 @@
     }
 
     /// An upstream has answered `print` at `at`; gives how many ends that excuses.
-    pub fn clear(&mut self, print: quarantine::Fingerprint, at: clock::Instant) -> u8 {
+    pub fn record_answer(&mut self, print: quarantine::Fingerprint, at: clock::Instant) -> u8 {
         let open = self.counts.contains_key(&print).then(|| self.unexplained(print).len());
         let open = u8::try_from(open.unwrap_or_default()).unwrap_or(u8::MAX);
         let ends = open.max(self.entries.get(&print).map_or(0, |ban| ban.crashes));
@@ -133,7 +133,7 @@
     }
 
     /// Drops what says nothing any more; `true` when that was something.
-    pub fn forget(&mut self, now: clock::Instant) -> bool {
+    pub fn expire(&mut self, now: clock::Instant) -> bool {
         let before = self.crashes.len() + self.entries.len();
         while let Some(index) = self.crashes.iter().position(|end| now.since(end.at) > AGE) {
             self.remove(index);
--- a/src/quarantine/tests/innocents.rs
+++ b/src/quarantine/tests/innocents.rs
@@ -60,7 +60,7 @@
     running: Vec<Call>,
     gone: u64,
     ends: u64,
-    proven: quarantine::Proven,
+    proven: quarantine::RecentAnswers,
 }
 
 /// What all hosts know, and when they learn more.
@@ -77,10 +77,10 @@
         let ends = self.ends.partition_point(|(due, _)| *due <= step);
         let answers = self.answers.partition_point(|(due, ..)| *due <= step);
         for (_, end) in self.ends.drain(..ends) {
-            self.table.note(end, now(step));
+            self.table.record_crash(end, now(step));
         }
         for (_, print, at) in self.answers.drain(..answers) {
-            self.table.clear(print, at);
+            self.table.record_answer(print, at);
         }
         if ends + answers > 0 {
             self.known = self.table.snapshot();
@@ -205,7 +205,7 @@
             }
             let done = place.running.extract_if(.., |call| call.until <= step);
             for call in done {
-                place.proven.note(call.print, now(step));
+                place.proven.record(call.print, now(step));
                 if self.news.known.is_suspected(call.print) {
                     self.news.answers.push_back((step + NEWS, call.print, now(step)));
                 }
@@ -221,7 +221,8 @@
         place.ends += 1;
         let number = place.ends;
         let id = quarantine::CrashId { host: host(index as u16), number };
-        let blamed = calls.iter().map(|c| c.print).filter(|p| !place.proven.has(*p, now(step)));
+        let blamed =
+            calls.iter().map(|c| c.print).filter(|p| !place.proven.contains(*p, now(step)));
         let end = quarantine::Crash { id, at: now(step), fingerprints: blamed.collect() };
         self.news.ends.push_back((step + NEWS, end));
         let tries = self.plan.tries;
--- a/src/quarantine/tests/mod.rs
+++ b/src/quarantine/tests/mod.rs
@@ -42,7 +42,7 @@
     let mut table = quarantine::Table::default();
     for (number, prints) in (0..).zip(prints) {
         let millis = 1000 * (1 + u64::from(number));
-        assert!(table.note(end(number, 0, millis, prints), at(millis)));
+        assert!(table.record_crash(end(number, 0, millis, prints), at(millis)));
     }
     table
 }
--- a/src/quarantine/tests/table.rs
+++ b/src/quarantine/tests/table.rs
@@ -28,7 +28,7 @@
 fn upstreams_that_end_in_the_same_instant_count_each_for_itself() {
     let mut table = quarantine::Table::default();
     for host in 0..12 {
-        table.note(end(host, 0, 1000, &[1, 100 + u64::from(host)]), at(1000));
+        table.record_crash(end(host, 0, 1000, &[1, 100 + u64::from(host)]), at(1000));
     }
     assert!(is_refused(&table, 1));
     assert!((100..112).all(|other| !is_refused(&table, other)));
@@ -37,7 +37,7 @@
 #[test]
 fn an_end_that_is_told_twice_counts_once() {
     let mut table = seen(&[&[1, 2], &[1, 3]]);
-    assert!(!table.note(end(0, 0, 1000, &[1, 2]), NOW));
+    assert!(!table.record_crash(end(0, 0, 1000, &[1, 2]), NOW));
     assert!(!is_refused(&table, 1));
 }
 
@@ -59,15 +59,15 @@
 #[test]
 fn an_answer_speaks_for_a_request_at_any_time() {
     let mut table = seen(&[&[7, 2], &[7, 3]]);
-    assert_eq!(table.clear(Fingerprint(7), at(2500)), 2);
-    table.note(end(8, 0, 3000, &[7, 4]), at(3000));
+    assert_eq!(table.record_answer(Fingerprint(7), at(2500)), 2);
+    table.record_crash(end(8, 0, 3000, &[7, 4]), at(3000));
     assert!(!is_refused(&table, 7), "only one end since then");
     assert_eq!(table.snapshot().crashes(Fingerprint(7)), 1);
     let mut table = seen(&[&[7], &[7], &[7]]);
     assert!(is_refused(&table, 7));
-    assert_eq!(table.clear(Fingerprint(7), at(5000)), 3);
+    assert_eq!(table.record_answer(Fingerprint(7), at(5000)), 3);
     assert!(!is_refused(&table, 7));
-    assert_eq!(table.clear(Fingerprint(8), at(5000)), 0, "nothing was held against it");
+    assert_eq!(table.record_answer(Fingerprint(8), at(5000)), 0, "nothing was held against it");
 }
 
 #[test]
@@ -75,7 +75,7 @@
     let ends: &[&[u64]] = &[&[1, 7], &[1, 7], &[7, 3], &[1, 7], &[7, 4]];
     let mut table = seen(ends);
     assert!(is_refused(&table, 7) && !is_refused(&table, 1));
-    table.clear(Fingerprint(7), at(6000));
+    table.record_answer(Fingerprint(7), at(6000));
     assert!(is_refused(&table, 1), "three of the ends are left to explain");
 }
 
@@ -84,9 +84,9 @@
     let mut table = quarantine::Table::default();
     for number in 0..10 {
         let millis = 1000 * (1 + u64::from(number));
-        table.note(end(number, 0, millis, &[7, 100 + u64::from(number)]), at(millis));
+        table.record_crash(end(number, 0, millis, &[7, 100 + u64::from(number)]), at(millis));
         assert!(!refused(&table, Fingerprint(7), at(millis)));
-        table.clear(Fingerprint(7), at(millis + 500));
+        table.record_answer(Fingerprint(7), at(millis + 500));
     }
 }
 
@@ -99,14 +99,14 @@
     assert_eq!(table.snapshot().remaining(BAD, 0.0, at(3000)), Some(300 * SECOND));
     let later = at(3000) + SECOND * after;
     assert_eq!(refused(&table, BAD, later), after < 300);
-    table.note(end(9, 0, later.as_micros() / 1000, &[1, 2]), later);
+    table.record_crash(end(9, 0, later.as_micros() / 1000, &[1, 2]), later);
     assert_eq!(table.snapshot().remaining(BAD, 0.0, later), Some(seconds * SECOND));
 }
 
 #[test]
 fn everything_is_forgotten_in_the_end() {
     let mut table = seen(&[&[1, 2], &[1, 3], &[1, 4]]);
-    table.forget(NOW + 2000 * SECOND);
+    table.expire(NOW + 2000 * SECOND);
     assert!(table.is_empty());
     assert_eq!(table.digest(), quarantine::Digest::default());
 }
@@ -116,7 +116,7 @@
     let mut table = seen(&[&[1], &[1], &[1]]);
     for number in 0..10_000 {
         let prints: Vec<u64> = (0..64).map(|p| 1000 + number * 64 + p).collect();
-        table.note(end(20, number, 4000 + number, &prints), at(4000 + number));
+        table.record_crash(end(20, number, 4000 + number, &prints), at(4000 + number));
     }
     assert!(refused(&table, BAD, at(15_000)), "what is proven goes last");
     let known = table.snapshot();
@@ -146,11 +146,11 @@
             end(number, 0, 1000 + u64::from(number), &prints)
         }).collect();
         let mut first = quarantine::Table::default();
-        ends.iter().for_each(|end| { first.note(end.clone(), NOW); });
+        ends.iter().for_each(|end| { first.record_crash(end.clone(), NOW); });
         let mut shuffled = ends.clone();
         shuffled.shuffle(&mut rand::rngs::Xoshiro256PlusPlus::seed_from_u64(seed));
         let mut second = quarantine::Table::default();
-        shuffled.iter().for_each(|end| { second.note(end.clone(), NOW); });
+        shuffled.iter().for_each(|end| { second.record_crash(end.clone(), NOW); });
         let names = |table: &quarantine::Table| {
             table.quarantined().map(|(print, _)| print).collect::<Vec<_>>()
         };
--- a/src/retry/attempt.rs
+++ b/src/retry/attempt.rs
@@ -12,7 +12,7 @@
     /// A typed refusal came back: the host proves that it did not run the call.
     Refused(retry::Reason),
     /// The host itself says that the call may have run.
-    Doubtful(retry::Reason),
+    PossiblyRan(retry::Reason),
     /// The head of an answer came.
     Head,
     /// The answer came to its marked end.
@@ -67,7 +67,7 @@
             Event::Refused(reason) | Event::Failed(reason) => {
                 self.end(retry::Outcome::NotRun(*reason))
             }
-            Event::Doubtful(_) | Event::Head | Event::End => Handled,
+            Event::PossiblyRan(_) | Event::Head | Event::End => Handled,
         }
     }
 
@@ -76,7 +76,7 @@
     fn sent(&mut self, event: &Event) -> Outcome<State> {
         match event {
             Event::Refused(reason) => self.end(retry::Outcome::NotRun(*reason)),
-            Event::Doubtful(reason) | Event::Failed(reason) => {
+            Event::PossiblyRan(reason) | Event::Failed(reason) => {
                 self.end(retry::Outcome::Unknown(*reason))
             }
             Event::Head => Transition(State::answering()),
@@ -89,7 +89,7 @@
     fn answering(&mut self, event: &Event) -> Outcome<State> {
         match event {
             Event::End => self.end(retry::Outcome::Ran),
-            Event::Doubtful(reason) | Event::Failed(reason) | Event::Refused(reason) => {
+            Event::PossiblyRan(reason) | Event::Failed(reason) | Event::Refused(reason) => {
                 self.end(retry::Outcome::Unknown(*reason))
             }
             Event::Sending | Event::Head => Handled,
--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -23,9 +23,9 @@
     /// Hundredths of a token earned each time.
     percent: u32,
     /// Most hundredths of a token kept; the bucket starts full.
-    most: u32,
+    max: u32,
     /// Hundredths of a token there are.
-    left: u32,
+    remaining: u32,
 }
 
 impl Budget {
@@ -37,25 +37,25 @@
     /// A full bucket of `floor` extra attempts that `earn` fills.
     pub fn earning(earn: Earn, percent: u8, floor: u16) -> Self {
         let most = u32::from(floor) * TOKEN;
-        Self { earn, percent: u32::from(percent), most, left: most }
+        Self { earn, percent: u32::from(percent), max: most, remaining: most }
     }
 
     /// Changes the limits and keeps what is left within them.
-    pub fn limit(&mut self, percent: u8, floor: u16) {
+    pub fn set_limits(&mut self, percent: u8, floor: u16) {
         self.percent = u32::from(percent);
-        self.most = u32::from(floor) * TOKEN;
-        self.left = self.left.min(self.most);
+        self.max = u32::from(floor) * TOKEN;
+        self.remaining = self.remaining.min(self.max);
     }
 
     /// Notes a call that came in.
-    pub fn arrived(&mut self) {
+    pub fn record_arrival(&mut self) {
         if self.earn == Earn::Call {
             self.fill();
         }
     }
 
     /// Notes a call served whole.
-    pub fn served(&mut self) {
+    pub fn record_served(&mut self) {
         if self.earn == Earn::Served {
             self.fill();
         }
@@ -63,19 +63,19 @@
 
     /// Takes one extra attempt; `false` when there is none left.
     pub fn take(&mut self) -> bool {
-        let enough = self.left >= TOKEN;
+        let enough = self.remaining >= TOKEN;
         if enough {
-            self.left -= TOKEN;
+            self.remaining -= TOKEN;
         }
         enough
     }
 
     /// Whole extra attempts left.
-    pub const fn left(&self) -> u32 {
-        self.left / TOKEN
+    pub const fn remaining(&self) -> u32 {
+        self.remaining / TOKEN
     }
 
     fn fill(&mut self) {
-        self.left = (self.left + self.percent).min(self.most);
+        self.remaining = (self.remaining + self.percent).min(self.max);
     }
 }
--- a/src/retry/decide.rs
+++ b/src/retry/decide.rs
@@ -20,17 +20,17 @@
     /// Number of the attempt that ended, from 1.
     pub attempt: u8,
     /// Attempts the call may have, the first included.
-    pub attempts: u8,
+    pub max_attempts: u8,
     /// How many calls of the mesh led to this one; 0 for a caller outside.
     pub depth: u8,
     /// Attempt number that came with the call: of the call that led to it, 1 when none did.
-    pub outer: u8,
+    pub outer_attempt: u8,
     /// When the caller gives up.
     pub deadline: clock::Instant,
     /// Bytes of an answer that have gone to the caller.
-    pub answered: u64,
+    pub answered_bytes: u64,
     /// Whether the whole request is still held, so that it can be sent again.
-    pub held: bool,
+    pub buffered: bool,
     /// Host of the attempt that ended; `None` when no host was picked.
     pub host: Option<host::HostId>,
     /// Wait that the refusing host asked for.
@@ -58,14 +58,14 @@
 ///
 /// A non-idempotent call gets another attempt only after a proven "not run"; every extra attempt
 /// is taken from `budget`, and none is made once a byte has reached the caller.
-pub fn next(
+pub fn decide(
     call: &Call,
     outcome: retry::Outcome,
     budget: &mut retry::Budget,
     now: clock::Instant,
 ) -> Decision {
     if outcome == retry::Outcome::Ran {
-        budget.served();
+        budget.record_served();
     }
     if allowed(call, outcome, now) && budget.take() {
         return Decision::Again { avoid: call.host };
@@ -77,11 +77,11 @@
     let Some(reason) = outcome.reason() else {
         return false;
     };
-    reason.elsewhere()
+    reason.allows_other_host()
         && repeatable(call, outcome)
         && call.attempt < limit(call)
-        && call.answered == 0
-        && call.held
+        && call.answered_bytes == 0
+        && call.buffered
         && now < call.deadline
 }
 
@@ -91,12 +91,12 @@
     match outcome {
         retry::Outcome::Ran => false,
         retry::Outcome::NotRun(_) => true,
-        retry::Outcome::Unknown(_) => call.idempotent && call.outer <= 1,
+        retry::Outcome::Unknown(_) => call.idempotent && call.outer_attempt <= 1,
     }
 }
 
 fn limit(call: &Call) -> u8 {
-    if call.depth == 0 { call.attempts } else { call.attempts.min(NESTED_ATTEMPTS) }
+    if call.depth == 0 { call.max_attempts } else { call.max_attempts.min(NESTED_ATTEMPTS) }
 }
 
 fn wait(call: &Call, outcome: retry::Outcome) -> Option<time::Duration> {
--- a/src/retry/mod.rs
+++ b/src/retry/mod.rs
@@ -12,7 +12,7 @@
 
 pub use self::attempt::{Attempt, Event};
 pub use self::budget::{Budget, Earn};
-pub use self::decide::{Call, Decision, next};
+pub use self::decide::{Call, Decision, decide};
 pub use self::reason::Reason;
 
 /// How an attempt, or a whole call, ended.
--- a/src/retry/reason.rs
+++ b/src/retry/reason.rs
@@ -88,7 +88,7 @@
     }
 
     /// Whether another host might serve what this host did not.
-    pub const fn elsewhere(self) -> bool {
+    pub const fn allows_other_host(self) -> bool {
         match self {
             Self::Cut
             | Self::Draining
--- a/src/retry/tests.rs
+++ b/src/retry/tests.rs
@@ -14,12 +14,12 @@
     retry::Call {
         idempotent,
         attempt: 1,
-        attempts: 3,
+        max_attempts: 3,
         depth: 0,
-        outer: 1,
+        outer_attempt: 1,
         deadline: DEADLINE,
-        answered: 0,
-        held: true,
+        answered_bytes: 0,
+        buffered: true,
         host: None,
         retry_after: None,
     }
@@ -28,7 +28,7 @@
 fn again(call: &retry::Call, outcome: retry::Outcome, millis: u64) -> bool {
     let mut budget = retry::Budget::new(10, 5);
     let now = clock::Instant::from_millis(millis);
-    matches!(retry::next(call, outcome, &mut budget, now), retry::Decision::Again { .. })
+    matches!(retry::decide(call, outcome, &mut budget, now), retry::Decision::Again { .. })
 }
 
 #[rstest]
@@ -52,14 +52,14 @@
     let cut = retry::Outcome::Unknown(retry::Reason::Cut);
     assert!(again(&call(true), cut, 999));
     assert!(!again(&call(true), cut, 1000));
-    assert!(!again(&retry::Call { answered: 1, ..call(true) }, cut, 0));
-    assert!(!again(&retry::Call { held: false, ..call(true) }, cut, 0));
+    assert!(!again(&retry::Call { answered_bytes: 1, ..call(true) }, cut, 0));
+    assert!(!again(&retry::Call { buffered: false, ..call(true) }, cut, 0));
 }
 
 #[test]
 fn a_nested_call_of_a_repeated_one_is_not_repeated_when_it_may_have_run() {
     let cut = retry::Outcome::Unknown(retry::Reason::Cut);
-    let nested = retry::Call { depth: 1, outer: 2, ..call(true) };
+    let nested = retry::Call { depth: 1, outer_attempt: 2, ..call(true) };
     assert!(!again(&nested, cut, 0));
     assert!(again(&nested, retry::Outcome::NotRun(retry::Reason::Full), 0));
     assert!(!again(&retry::Call { depth: 1, attempt: 2, ..call(true) }, cut, 0));
@@ -71,7 +71,7 @@
     let hint = Some(time::Duration::from_millis(40));
     let refused = retry::Call { retry_after: hint, ..call(true) };
     let outcome = retry::Outcome::NotRun(retry::Reason::Full);
-    let decision = retry::next(&refused, outcome, &mut budget, clock::Instant::ZERO);
+    let decision = retry::decide(&refused, outcome, &mut budget, clock::Instant::ZERO);
     assert_eq!(decision, retry::Decision::Final { outcome, retry_after: hint });
 }
 
@@ -86,7 +86,7 @@
     prop_oneof![
         Just(retry::Event::Sending),
         Just(retry::Event::Refused(retry::Reason::Full)),
-        Just(retry::Event::Doubtful(retry::Reason::Cut)),
+        Just(retry::Event::PossiblyRan(retry::Reason::Cut)),
         Just(retry::Event::Head),
         Just(retry::Event::End),
         Just(retry::Event::Failed(retry::Reason::Unreachable)),
@@ -131,12 +131,12 @@
         let mut budget = retry::Budget::new(10, floor);
         let mut made = 0_u32;
         for _ in 0..calls {
-            budget.arrived();
-            let mut one = retry::Call { attempts, ..call(true) };
+            budget.record_arrival();
+            let mut one = retry::Call { max_attempts: attempts, ..call(true) };
             let outcome = retry::Outcome::NotRun(retry::Reason::Unreachable);
             made += 1;
             while let retry::Decision::Again { .. } =
-                retry::next(&one, outcome, &mut budget, clock::Instant::ZERO)
+                retry::decide(&one, outcome, &mut budget, clock::Instant::ZERO)
             {
                 one.attempt += 1;
                 made += 1;
--- a/src/rollout/counts.rs
+++ b/src/rollout/counts.rs
@@ -6,7 +6,7 @@
 ///
 /// Runs of one kind differ: with a log-normal spread of 0.8 about one in twenty takes three times the
 /// mean, on an upstream of half speed one in six. These are counted alike in the old version.
-pub const SLOW: f32 = 3.0;
+pub const SLOW_FACTOR: f32 = 3.0;
 
 /// Answers of one version.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -33,7 +33,7 @@
 
 impl AnswerCounts {
     /// Notes one more answer.
-    pub const fn note(&mut self, bad: bool) {
+    pub const fn record(&mut self, bad: bool) {
         self.answers = self.answers.saturating_add(1);
         if bad {
             self.bad = self.bad.saturating_add(1);
@@ -41,7 +41,7 @@
     }
 
     /// Both together.
-    pub const fn and(self, other: Self) -> Self {
+    pub const fn plus(self, other: Self) -> Self {
         Self {
             answers: self.answers.saturating_add(other.answers),
             bad: self.bad.saturating_add(other.bad),
@@ -49,7 +49,7 @@
     }
 
     /// Half of it, so that what was seen long ago counts for less.
-    pub const fn half(self) -> Self {
+    pub const fn halved(self) -> Self {
         Self { answers: self.answers / 2, bad: self.bad / 2 }
     }
 }
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -24,7 +24,7 @@
 use crate::logs;
 
 pub use self::counts::{AnswerCounts, TrialReport};
-pub use self::plan::{Plan, Side, Stage};
+pub use self::plan::{Plan, Stage, VersionGroup};
 pub use self::table::Table;
 
 /// An operator's order to move a service to a version of its upstreams.
@@ -40,12 +40,12 @@
 
 impl Order {
     /// Whether `other` asks for the same.
-    pub fn is_like(&self, other: &Self) -> bool {
+    pub fn has_same_goal(&self, other: &Self) -> bool {
         self.version == other.version && self.within == other.within
     }
 
     /// Whether `other` is this order, read again from a log that came back from an older copy.
     fn is_reread_as(&self, other: &Self) -> bool {
-        self.is_like(other) && logs::epoch(self.number) < logs::epoch(other.number)
+        self.has_same_goal(other) && logs::epoch(self.number) < logs::epoch(other.number)
     }
 }
--- a/src/rollout/plan.rs
+++ b/src/rollout/plan.rs
@@ -45,7 +45,7 @@
 
 /// Which upstreams serve a call.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
-pub enum Side {
+pub enum VersionGroup {
     /// Every one: the service has no order.
     #[default]
     Any,
@@ -73,7 +73,7 @@
 
 /// What a node knows at a moment.
 #[derive(Clone, Copy, Debug)]
-pub struct Known {
+pub struct Observations {
     /// Answers of the new version, on all hosts.
     pub new: rollout::AnswerCounts,
     /// Answers of the old version that this node and those beside new upstreams have seen.
@@ -121,7 +121,7 @@
     }
 
     /// Takes in what is known at `now`.
-    pub fn update(&mut self, known: &Known, now: clock::Instant) {
+    pub fn update(&mut self, known: &Observations, now: clock::Instant) {
         if self.is_over() {
             return;
         }
@@ -160,7 +160,7 @@
         matches!(self.stage, Stage::Completed | Stage::RolledBack)
     }
 
-    fn is_proven(&self, known: &Known, now: clock::Instant) -> bool {
+    fn is_proven(&self, known: &Observations, now: clock::Instant) -> bool {
         let roomy = known.ready > 0 && known.ready * 100 >= known.serving * ROOM;
         let least = if now >= self.at(QUIET) { FEW } else { LEAST };
         let seen = known.new.answers >= least;
--- a/src/rollout/table.rs
+++ b/src/rollout/table.rs
@@ -43,7 +43,7 @@
 
 /// The upstreams of one service told apart by version.
 #[derive(Debug)]
-pub struct Sides<'a> {
+pub struct Classifier<'a> {
     entry: Option<&'a Entry>,
     met: &'a [Met],
     now: clock::Instant,
@@ -51,25 +51,25 @@
     left: usize,
 }
 
-impl Sides<'_> {
+impl Classifier<'_> {
     /// The side of the next upstream, which has `version`; `None` when no call goes to it. One that is not
     /// `open` to calls does not count among those that are tried.
     ///
     /// An unproven version gets its small share at few upstreams, the same ones everywhere, where it runs as
     /// many calls at once as the old one does: spread over all of them one that fails under load would
     /// show it only once it has all the calls.
-    pub fn of(&mut self, version: &str, open: bool) -> Option<rollout::Side> {
+    pub fn group_of(&mut self, version: &str, open: bool) -> Option<rollout::VersionGroup> {
         let Some(entry) = self.entry else {
             let waits = |m: &Met| m.version == version && m.after > self.now;
-            return (!self.met.iter().any(waits)).then_some(rollout::Side::Any);
+            return (!self.met.iter().any(waits)).then_some(rollout::VersionGroup::Any);
         };
         if entry.order.version != version {
-            return Some(rollout::Side::Old);
+            return Some(rollout::VersionGroup::Old);
         }
         if open {
             self.left = self.left.checked_sub(1)?;
         }
-        Some(rollout::Side::New)
+        Some(rollout::VersionGroup::New)
     }
 }
 
@@ -168,17 +168,17 @@
     }
 
     /// The upstreams that serve the next call for `service`.
-    pub fn next(&mut self, service: &str, now: clock::Instant) -> rollout::Side {
+    pub fn next_group(&mut self, service: &str, now: clock::Instant) -> rollout::VersionGroup {
         /// Prime to a thousand, so that the new version's calls lie evenly among the others.
         const STRIDE: u32 = 617;
-        let Some(entry) = self.entries.get_mut(service) else { return rollout::Side::Any };
+        let Some(entry) = self.entries.get_mut(service) else { return rollout::VersionGroup::Any };
         entry.calls = entry.calls.wrapping_add(STRIDE) % WHOLE;
         let new = entry.calls < entry.plan.share(now);
-        if new { rollout::Side::New } else { rollout::Side::Old }
+        if new { rollout::VersionGroup::New } else { rollout::VersionGroup::Old }
     }
 
     /// Tells the upstreams of `service` apart, in the order of their hosts.
-    pub fn sides(&self, service: &str, now: clock::Instant) -> Sides<'_> {
+    pub fn classifier(&self, service: &str, now: clock::Instant) -> Classifier<'_> {
         let met = self.met.get(service).map_or(&[][..], Vec::as_slice);
         // Where no other version is left, nothing is gained by waiting for an order.
         let late = |m: &&Met| m.after > now;
@@ -186,17 +186,23 @@
         let entry = self.entries.get(service);
         let trial = entry.is_some_and(|e| e.plan.stage() == rollout::Stage::Trial);
         let left = if trial { entry.map_or(0, |e| e.tried) } else { usize::MAX };
-        Sides { entry, met, now, left }
+        Classifier { entry, met, now, left }
     }
 
     /// The versions that serve a call for `service` where `side` has no upstream: both while an order is
     /// open, but never one that was found bad.
-    pub fn instead(&self, service: &str, side: rollout::Side) -> Option<rollout::Side> {
+    pub fn fallback(
+        &self,
+        service: &str,
+        side: rollout::VersionGroup,
+    ) -> Option<rollout::VersionGroup> {
         let stage = self.entries.get(service)?.plan.stage();
         match side {
-            rollout::Side::New => Some(rollout::Side::Old),
-            rollout::Side::Old if stage != rollout::Stage::RolledBack => Some(rollout::Side::New),
-            rollout::Side::Old | rollout::Side::Any => None,
+            rollout::VersionGroup::New => Some(rollout::VersionGroup::Old),
+            rollout::VersionGroup::Old if stage != rollout::Stage::RolledBack => {
+                Some(rollout::VersionGroup::New)
+            }
+            rollout::VersionGroup::Old | rollout::VersionGroup::Any => None,
         }
     }
 
@@ -226,17 +232,17 @@
     }
 
     /// Number of the order under which an upstream of `version` is tried; 0 when it is not.
-    pub fn tried(&self, service: &str, version: &str) -> u64 {
+    pub fn trial_order(&self, service: &str, version: &str) -> u64 {
         let entry = self.entries.get(service).filter(|e| e.order.version == version);
         entry.map_or(0, |entry| entry.order.number)
     }
 
     /// Notes an answer of the old version of `service`.
-    pub fn note_old(&mut self, service: &str, bad: bool) {
+    pub fn record_old(&mut self, service: &str, bad: bool) {
         let Some(entry) = self.entries.get_mut(service) else { return };
-        entry.old.note(bad);
+        entry.old.record(bad);
         if entry.old.answers >= SPAN {
-            entry.old = entry.old.half();
+            entry.old = entry.old.halved();
         }
     }
 
@@ -263,8 +269,8 @@
 }
 
 /// What `view` tells of the order of `entry`.
-fn known(service: &str, entry: &Entry, view: &view::View) -> rollout::plan::Known {
-    let mut known = rollout::plan::Known {
+fn known(service: &str, entry: &Entry, view: &view::View) -> rollout::plan::Observations {
+    let mut known = rollout::plan::Observations {
         new: rollout::AnswerCounts::default(),
         old: entry.old,
         rejected: false,
@@ -276,8 +282,8 @@
         let alive = host.health == view::Health::Alive;
         let slots = if alive { u32::from(upstream.slots) } else { 0 };
         if upstream.trial.order == entry.order.number {
-            known.new = known.new.and(upstream.trial.new);
-            known.old = known.old.and(upstream.trial.old);
+            known.new = known.new.plus(upstream.trial.new);
+            known.old = known.old.plus(upstream.trial.old);
             known.rejected |= upstream.trial.rejected;
         }
         if upstream.version == entry.order.version {
@@ -297,7 +303,7 @@
 }
 
 /// Logs a step of an order with what decided it.
-fn tell(service: &str, entry: &Entry, known: &rollout::plan::Known, before: rollout::Stage) {
+fn tell(service: &str, entry: &Entry, known: &rollout::plan::Observations, before: rollout::Stage) {
     let stage = entry.plan.stage();
     if stage == before {
         return;
--- a/src/rollout/tests.rs
+++ b/src/rollout/tests.rs
@@ -123,7 +123,7 @@
         let tellers = entries.iter().rev().take(3).map(|entry| entry.old);
         shared.push_back((
             now,
-            tellers.fold(rollout::AnswerCounts::default(), rollout::AnswerCounts::and),
+            tellers.fold(rollout::AnswerCounts::default(), rollout::AnswerCounts::plus),
         ));
         while shared.len() > 1 && shared[1].0 + GOSSIP <= now {
             shared.pop_front();
@@ -151,7 +151,7 @@
             let share = entry.plan.map_or(0, |plan| plan.share(at(now)));
             result.all += 1;
             if entry.calls >= share {
-                entry.old.note(rng.random_bool(old));
+                entry.old.record(rng.random_bool(old));
                 continue;
             }
             result.new += 1;
@@ -159,7 +159,7 @@
                 result.late += 1;
             }
             let chance = chance(kind, old, now, share, &mut rng);
-            seen.note(rng.random_bool(chance));
+            seen.record(rng.random_bool(chance));
             if seen.bad >= 50 {
                 fiftieth.get_or_insert(now);
             }
@@ -179,8 +179,8 @@
         return;
     }
     let plan = entry.plan.get_or_insert_with(|| rollout::Plan::new(WITHIN, at(now)));
-    let old = entry.old.and(old);
-    let known = plan::Known { new, old, rejected: condemned, ready: 288, serving: 288 };
+    let old = entry.old.plus(old);
+    let known = plan::Observations { new, old, rejected: condemned, ready: 288, serving: 288 };
     plan.update(&known, at(now));
 }
 
@@ -247,8 +247,8 @@
         let (mut new, mut old) =
             (rollout::AnswerCounts::default(), rollout::AnswerCounts::default());
         (0..1_000).any(|_| {
-            new.note(rng.random_bool(0.06));
-            old.note(rng.random_bool(0.06));
+            new.record(rng.random_bool(0.06));
+            old.record(rng.random_bool(0.06));
             judge::is_bad(new, old)
         })
     });
@@ -260,7 +260,7 @@
     let mut plan = rollout::Plan::new(WITHIN, at(0));
     let (new, old) = (rollout::AnswerCounts::default(), rollout::AnswerCounts::default());
     for now in (0..12_000).step_by(100) {
-        let known = plan::Known { new, old, rejected: false, ready: 0, serving: 40 };
+        let known = plan::Observations { new, old, rejected: false, ready: 0, serving: 40 };
         plan.update(&known, at(now));
     }
     assert_eq!(plan.stage(), rollout::Stage::RolledBack);
@@ -273,7 +273,7 @@
     let old = rollout::AnswerCounts { answers: 150, bad: 2 };
     let mut since = None;
     for now in (0..12_000).step_by(100) {
-        let known = plan::Known { new, old, rejected: false, ready: 40, serving: 40 };
+        let known = plan::Observations { new, old, rejected: false, ready: 40, serving: 40 };
         plan.update(&known, at(now));
         if plan.share(at(now)) == 1000 {
             since.get_or_insert(now);
@@ -296,7 +296,7 @@
         for (now, (answers, bad, condemned, ready, serving)) in (0..).step_by(200).zip(looks) {
             let new = rollout::AnswerCounts { answers, bad: bad.min(answers) };
             let old = rollout::AnswerCounts { answers: 100, bad: 3 };
-            plan.update(&plan::Known { new, old, rejected: condemned, ready, serving }, at(now));
+            plan.update(&plan::Observations { new, old, rejected: condemned, ready, serving }, at(now));
             let stage = plan.stage();
             prop_assert!(end.is_none_or(|end| end == stage));
             if status::State::from(stage).is_final() {
@@ -310,9 +310,9 @@
     fn evidence_counts_no_more_bad_answers_than_answers(notes in prop::collection::vec(any::<bool>(), 0..200)) {
         let mut seen = rollout::AnswerCounts::default();
         for bad in notes {
-            seen.note(bad);
+            seen.record(bad);
             prop_assert!(seen.bad <= seen.answers);
-            prop_assert!(seen.half().bad <= seen.half().answers);
+            prop_assert!(seen.halved().bad <= seen.halved().answers);
         }
     }
 }
@@ -375,9 +375,9 @@
 }
 
 /// The sides of the upstreams of `versions`, in the order of their hosts, as `table` has them.
-fn sides(table: &rollout::Table, versions: &[&str], now: u64) -> Vec<Option<plan::Side>> {
-    let mut sides = table.sides("shop", at(now));
-    versions.iter().map(|version| sides.of(version, true)).collect()
+fn sides(table: &rollout::Table, versions: &[&str], now: u64) -> Vec<Option<plan::VersionGroup>> {
+    let mut sides = table.classifier("shop", at(now));
+    versions.iter().map(|version| sides.group_of(version, true)).collect()
 }
 
 /// A table that has seen the upstreams of `versions` at 1 s.
@@ -392,7 +392,7 @@
     seen(&mut table, &mesh, &["v1", "v1"], 1_000);
     let both = ["v1", "v1", "v2"];
     seen(&mut table, &mesh, &both, 2_000);
-    let any = Some(plan::Side::Any);
+    let any = Some(plan::VersionGroup::Any);
     assert_eq!(sides(&table, &both, 2_000), [any, any, None]);
     assert!(!table.is_idle(at(11_000)), "it is looked at again");
     assert_eq!(sides(&table, &both, 12_000), [any, any, any]);
@@ -404,7 +404,7 @@
     let (mut table, mesh) = (rollout::Table::default(), mesh::Mesh::default());
     seen(&mut table, &mesh, &["v1"], 1_000);
     seen(&mut table, &mesh, &["v2", "v2"], 2_000);
-    assert_eq!(sides(&table, &["v2", "v2"], 2_000), [Some(plan::Side::Any); 2]);
+    assert_eq!(sides(&table, &["v2", "v2"], 2_000), [Some(plan::VersionGroup::Any); 2]);
 }
 
 #[test]
@@ -414,20 +414,25 @@
     mesh.rollouts.push(mesh::Rollout { service: "shop".into(), order });
     let versions = ["v1", "v2", "v2", "v2", "v2", "v2"];
     seen(&mut table, &mesh, &versions, 1_000);
-    let (old, new) = (Some(plan::Side::Old), Some(plan::Side::New));
+    let (old, new) = (Some(plan::VersionGroup::Old), Some(plan::VersionGroup::New));
     assert_eq!(sides(&table, &versions, 1_000), [old, new, new, new, None, None]);
-    let tried = (0..1_000).filter(|_| table.next("shop", at(1_000)) == plan::Side::New);
+    let tried =
+        (0..1_000).filter(|_| table.next_group("shop", at(1_000)) == plan::VersionGroup::New);
     assert_eq!(tried.count(), 50);
     table.settle("shop", 3, rollout::Stage::RolledBack);
-    assert!((0..1_000).all(|_| table.next("shop", at(1_000)) == plan::Side::Old));
-    assert_eq!(table.instead("shop", plan::Side::Old), None, "not even where nothing else is left");
+    assert!((0..1_000).all(|_| table.next_group("shop", at(1_000)) == plan::VersionGroup::Old));
+    assert_eq!(
+        table.fallback("shop", plan::VersionGroup::Old),
+        None,
+        "not even where nothing else is left"
+    );
 }
 
 #[test]
 fn the_end_that_the_mesh_says_goes_before_the_own_one() {
     let mut plan = rollout::Plan::new(WITHIN, at(0));
     let (new, old) = (rollout::AnswerCounts::default(), rollout::AnswerCounts::default());
-    let known = plan::Known { new, old, rejected: false, ready: 0, serving: 40 };
+    let known = plan::Observations { new, old, rejected: false, ready: 0, serving: 40 };
     plan.update(&known, at(11_000));
     assert_eq!(plan.stage(), rollout::Stage::RolledBack, "a node that learned late");
     plan.settle(rollout::Stage::Completed);
@@ -443,8 +448,8 @@
     mesh.rollouts.push(mesh::Rollout { service: "shop".into(), order });
     let versions = ["v2", "v2", "v2", "v2", "v2"];
     seen(&mut table, &mesh, &versions, 1_000);
-    let mut sides = table.sides("shop", at(1_000));
-    let tried = (0..5).filter(|&n| sides.of("v2", n != 0).is_some());
+    let mut sides = table.classifier("shop", at(1_000));
+    let tried = (0..5).filter(|&n| sides.group_of("v2", n != 0).is_some());
     assert_eq!(tried.collect::<Vec<_>>(), [0, 1, 2, 3]);
 }
 
@@ -468,7 +473,7 @@
         seen(&mut table, &ordered(number, "v2"), &versions, 2_000);
         let beliefs = table.progress();
         assert_eq!((beliefs[0].order.number, beliefs[0].stage), (number, plan::Stage::RolledBack));
-        assert!((0..1_000).all(|_| table.next("shop", at(2_000)) == plan::Side::Old));
+        assert!((0..1_000).all(|_| table.next_group("shop", at(2_000)) == plan::VersionGroup::Old));
     }
     seen(&mut table, &ordered(logs::ordinal(5, 9), "v2"), &versions, 3_000);
     assert_eq!(table.progress()[0].stage, plan::Stage::Trial, "ordered once more");
--- a/tests/calls/quarantine.rs
+++ b/tests/calls/quarantine.rs
@@ -16,7 +16,7 @@
 
 fn print(path: &str) -> Fingerprint {
     let printer = quarantine::Fingerprinter::new(&seal::Seal::new("calls", "secret"));
-    printer.fingerprint("GET", "shop.test", path, Body::Whole(b""))
+    printer.fingerprint("GET", "shop.test", path, Body::Complete(b""))
 }
 
 /// Has `node` know that `ends` upstreams ended under `path`, which is refused for it or not.
