--- a/src/admit/mod.rs
+++ b/src/admit/mod.rs
@@ -103,7 +103,7 @@
     Resume,
     /// The upstream has started anew: what was learned of it says nothing of its next life.
     Restart,
-    /// Time passed; see [`Gate::wake`].
+    /// Time passed; see [`Gate::next_tick`].
     Tick,
 }
 
--- a/src/retry/mod.rs
+++ b/src/retry/mod.rs
@@ -1,7 +1,7 @@
 //! Retry budgets, deadlines and outcomes.
 //!
 //! Only the entry, the node a caller talks to, tries a call again. The number of the attempt and
-//! the depth travel with the call, so that nested calls do not multiply (see [`Call::outer`]).
+//! the depth travel with the call, so that nested calls do not multiply (see [`Call::outer_attempt`]).
 
 mod attempt;
 mod budget;
