--- a/src/quarantine/channel.rs
+++ b/src/quarantine/channel.rs
@@ -1,4 +1,4 @@
-//! What joins the calls of a node to its membership duty.
+//! Channel between the calls of a node and its membership duty.
 
 use std::sync::Arc;
 
@@ -9,45 +9,45 @@
 use crate::quarantine;
 use crate::ring;
 
-/// Room for reports. A full ring drops an answer, which the next one repeats, or an end: upstreams take
-/// seconds to come back.
-const REPORTS: usize = 64;
+/// Capacity of the ring of reports. A full ring drops an answer, which the next answer repeats, or
+/// a crash; crashes are rare, as an upstream takes seconds to restart.
+const REPORT_CAPACITY: usize = 64;
 
-/// Counts of what the calls of a node found out.
+/// Metrics that the calls of a node update.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
-    /// Ends of the upstream beside it under calls.
+    /// Crashes of this node's upstream while it ran calls.
     pub crashes: counter::Counter,
-    /// Calls refused here.
+    /// Calls that this node refused.
     pub refused: counter::Counter,
-    /// Requests that the mesh holds responsible.
+    /// Requests that are quarantined in the mesh.
     pub quarantined: gauge::Gauge,
 }
 
-/// The side of the calls.
+/// The end of the channel that the calls use.
 #[derive(Clone, Debug)]
 pub struct CallSide {
-    /// What they find out.
+    /// Reports to the membership duty.
     pub reports: ring::Sender<quarantine::Report>,
-    /// What the mesh knows.
+    /// The latest state of the mesh.
     pub snapshot: watch::Receiver<Arc<quarantine::Snapshot>>,
-    /// Counts.
+    /// Metrics of the calls.
     pub counts: Counts,
 }
 
-/// The side of the membership duty.
+/// The end of the channel that the membership duty uses.
 #[derive(Debug)]
 pub struct MemberSide {
-    /// What the calls find out.
+    /// Reports of the calls.
     pub reports: ring::Receiver<quarantine::Report>,
-    /// What the mesh knows.
+    /// Publishes the latest state of the mesh to the calls.
     pub snapshot: watch::Sender<Arc<quarantine::Snapshot>>,
 }
 
-/// Both sides.
+/// Creates a channel and returns both ends.
 pub fn channel() -> (CallSide, MemberSide) {
-    let (sender, reports) = ring::bounded(REPORTS);
-    let (publish, known) = watch::channel(Arc::default());
-    let calls = CallSide { reports: sender, snapshot: known, counts: Counts::default() };
-    (calls, MemberSide { reports, snapshot: publish })
+    let (sender, reports) = ring::bounded(REPORT_CAPACITY);
+    let (publisher, snapshot) = watch::channel(Arc::default());
+    let calls = CallSide { reports: sender, snapshot, counts: Counts::default() };
+    (calls, MemberSide { reports, snapshot: publisher })
 }
--- a/src/quarantine/entry.rs
+++ b/src/quarantine/entry.rs
@@ -1,64 +1,71 @@
-//! How long a request that ends upstreams is refused.
+//! How long a request that crashes upstreams is refused.
 
 use std::time;
 
 use crate::clock;
 use crate::quarantine;
 
-/// First time for which such a request is refused. Whoever sends it again and again does so for minutes;
-/// an upstream that is mended takes longer to come.
-const TERM: time::Duration = time::Duration::from_secs(300);
+/// Time for which a request is refused after it has reached the crash threshold. Callers that
+/// repeat such a request do so for minutes, and the fix of an upstream takes longer to be deployed.
+const BASE_TERM: time::Duration = time::Duration::from_secs(300);
 
-/// Most doublings of that time: to some 80 minutes.
-const DOUBLINGS: u32 = 4;
+/// How often further crashes can double that time: up to 80 minutes.
+const MAX_DOUBLINGS: u32 = 4;
 
-/// How far apart two accounts of one moment may be: ages are told in milliseconds, and news take time.
-const SAME: time::Duration = time::Duration::from_millis(250);
+/// Difference up to which two times count as the same moment: hosts send ages in milliseconds, and
+/// the messages take time to arrive.
+const MERGE_TOLERANCE: time::Duration = time::Duration::from_millis(250);
 
-/// What the mesh holds against one request, or for it.
+/// The quarantine state of one request.
 ///
-/// Invariant: of two that stand for the same request the later one holds, and of two of one moment the
-/// one with more ends.
+/// Invariant: of two entries for the same request the later one supersedes the other, and at the
+/// same moment the one with more crashes does.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Entry {
-    /// Upstreams that ended under it.
+    /// Upstreams that crashed while they ran the request.
     pub crashes: u8,
-    /// Whether an upstream has answered it since.
+    /// Whether an upstream has answered the request since the last crash.
     pub lifted: bool,
-    /// When the last of them ended, or answered it.
+    /// Time of the last crash, or of the answer that lifted the quarantine.
     pub last: clock::Instant,
 }
 
 impl Entry {
-    /// For how long the request is refused after the last end.
+    /// Time for which the request is refused after the last crash.
     fn term(&self) -> time::Duration {
-        let more = u32::from(self.crashes.saturating_sub(quarantine::THRESHOLD));
-        TERM * (1 << more.min(DOUBLINGS))
+        let extra = u32::from(self.crashes.saturating_sub(quarantine::THRESHOLD));
+        BASE_TERM * (1 << extra.min(MAX_DOUBLINGS))
     }
 
-    /// For how much longer the request is refused by a host that lets it go `spread` of its term, 0 to 1,
-    /// after the first one does; `None` when it is not.
+    /// Time until the request is no longer refused by a host that extends the term by the share
+    /// `spread` of it, 0 to 1; `None` if the request is not refused.
     ///
-    /// Hosts let it go one after the other: a trial of the first tells the others.
+    /// Hosts stop refusing the request at different times, so that its first run, if it crashes an
+    /// upstream again, warns the hosts that still refuse it.
     pub fn remaining(&self, spread: f32, now: clock::Instant) -> Option<time::Duration> {
-        let held = self.term() + self.term().mul_f32(spread.clamp(0.0, 1.0));
-        let left = held.saturating_sub(now.since(self.last));
-        (!self.lifted && !left.is_zero()).then_some(left)
+        let term = self.term() + self.term().mul_f32(spread.clamp(0.0, 1.0));
+        let remaining = term.saturating_sub(now.since(self.last));
+        (!self.lifted && !remaining.is_zero()).then_some(remaining)
     }
 
-    /// Whether it says nothing any more. An end in the term after the ban continues it.
+    /// Whether the entry can be dropped. It outlives the term, which hosts extend to twice its
+    /// length at most, by one more term, so that a crash in that time continues the quarantine.
     pub fn is_expired(&self, now: clock::Instant) -> bool {
         now.since(self.last) > 3 * self.term()
     }
 
-    /// Whether it goes before `other`, which is held of the same request.
+    /// Whether this entry replaces `other`, which is held for the same request.
     pub fn supersedes(&self, other: &Self) -> bool {
         let later = self.last.since(other.last);
         let earlier = other.last.since(self.last);
-        if later.max(earlier) <= SAME { self.weight() > other.weight() } else { later > SAME }
+        if later.max(earlier) <= MERGE_TOLERANCE {
+            self.weight() > other.weight()
+        } else {
+            later > MERGE_TOLERANCE
+        }
     }
 
-    /// Order among bans of one moment: an answer came after the end that it excuses.
+    /// Order of entries of the same moment: an answer comes after the crashes that it lifts.
     const fn weight(&self) -> (bool, u8) {
         (self.lifted, self.crashes)
     }
--- a/src/quarantine/fingerprint.rs
+++ b/src/quarantine/fingerprint.rs
@@ -6,13 +6,15 @@
 
 use crate::seal;
 
-/// Domain of the key derivation, apart from that of the mesh's tags.
+/// Context of the key derivation; it keeps this key apart from that of the mesh's authentication
+/// tags.
 const DOMAIN: &str = "dandelionspool 2026 request fingerprint v1";
 
-/// A fingerprint: equal for two requests that ask the same with the same body, whoever sends them, and the
-/// same at every node of a mesh.
+/// Hash of a request: equal for two requests with the same method, host, path and body, whoever
+/// sends them, and the same at every node of a mesh.
 ///
-/// It is keyed, so that nobody outside can make a request with the fingerprint of another one.
+/// The hash is keyed, so that nobody outside the mesh can craft a request with the fingerprint of
+/// another one.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Fingerprint(pub u64);
 
@@ -22,29 +24,29 @@
     }
 }
 
-/// What is known of a request's body.
+/// The part of a request's body that is available when the fingerprint is computed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Body<'a> {
-    /// It was read whole.
+    /// The complete body.
     Complete(&'a [u8]),
-    /// It streams; its length in bytes, where that is known.
+    /// The body is streamed; its length in bytes, `None` if the request does not declare it.
     Streamed(Option<u64>),
 }
 
-/// Makes the fingerprints of one mesh.
+/// Computes the fingerprints of one mesh.
 #[derive(Clone)]
 pub struct Fingerprinter {
     key: [u8; blake3::KEY_LEN],
 }
 
 impl Fingerprinter {
-    /// A printer for the mesh of `seal`.
+    /// Creates a fingerprinter with a key derived from that of `seal`.
     pub fn new(seal: &seal::Seal) -> Self {
         Self { key: seal.derive(DOMAIN) }
     }
 
-    /// The fingerprint of a request: the method, the host that it names, the path with its query and the
-    /// body.
+    /// Computes the fingerprint of a request from its method, the host that it names, its path with
+    /// the query, and its body.
     pub fn fingerprint(&self, method: &str, host: &str, path: &str, body: Body<'_>) -> Fingerprint {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         for text in [method, &host.to_ascii_lowercase(), path] {
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -1,51 +1,54 @@
-//! Requests under which upstreams end.
+//! Quarantine of requests that crash upstreams.
 //!
-//! Some requests end whatever upstream runs them, and come again. A [`Fingerprint`] names a request wherever it
-//! comes in. Each node tells the others of the ends of its upstream, with the prints of what ran there;
-//! from these every node works out, each for itself, which request must have caused them ([`Table`]), and
-//! refuses it for a while. Nothing is asked of one host, and nothing is kept elsewhere.
+//! Some requests crash every upstream that runs them, and callers repeat them. A [`Fingerprint`]
+//! identifies a request at every node. Each node reports the crashes of its upstream to the others,
+//! with the fingerprints of the calls that ran there. From these reports every node determines by
+//! itself which request must have caused the crashes ([`Table`]), and refuses it for a while. There
+//! is no central host and no shared store.
 //!
-//! Others run on an upstream as it ends, too. A request is held responsible only when
-//! [`THRESHOLD`] upstreams ended under it and no other request explains these ends as well; an answer of an
-//! upstream that lived on speaks for it at any time.
+//! Harmless requests run on an upstream when it crashes, too. A request is quarantined only after
+//! [`THRESHOLD`] upstreams have crashed under it and if no other request explains these crashes as
+//! well; an answer from an upstream that did not crash lifts the quarantine at any time.
 
+mod answers;
 mod channel;
 mod entry;
 mod fingerprint;
-mod proven;
 mod snapshot;
 mod table;
 
 #[cfg(test)]
 mod tests;
 
+pub use self::answers::RecentAnswers;
 pub use self::channel::{CallSide, Counts, MemberSide, channel};
 pub use self::entry::Entry;
 pub use self::fingerprint::{Body, Fingerprint, Fingerprinter};
-pub use self::proven::RecentAnswers;
 pub use self::snapshot::Snapshot;
 pub use self::table::{Crash, CrashId, Digest, Table};
 
-/// Ends of upstreams under a request by which it is proven to cause them. Harmless requests that are tried
-/// again beside it share two of its ends now and then.
+/// Crashes under a request that prove that it causes them, if no other request explains them.
+/// Harmless requests that are retried together with a bad one share two of its crashes now and
+/// then.
 pub const THRESHOLD: u8 = 3;
 
-/// Ends under a request from which it is held responsible even if another one explains them as well.
-const SURE: u8 = 5;
+/// Crashes under a request after which it is quarantined even if another request explains them as
+/// well.
+const CERTAINTY_THRESHOLD: u8 = 5;
 
-/// Ends under a request from which it runs apart from others like it, so that the next end tells them
-/// apart.
+/// Crashes under a request after which it is suspected: it no longer runs together with other
+/// suspected requests, so that the next crash tells which of them is the cause.
 pub const SUSPICION_THRESHOLD: u8 = 2;
 
-/// Most prints that are told of one end. More calls than this run at few upstreams; those that ran at
-/// ends before are told first.
+/// Fingerprints reported with one crash at most. Few upstreams run more calls than this at once;
+/// requests that were running at earlier crashes are reported first.
 pub const MAX_FINGERPRINTS: usize = 64;
 
-/// What a node's calls tell its membership duty.
+/// What a node's calls report to its membership duty.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Report {
-    /// The upstream beside this node has ended while these ran.
+    /// The upstream beside this node crashed while it ran these requests.
     Crashed(Vec<Fingerprint>),
-    /// An upstream answered this request and lived on.
+    /// An upstream answered this request and did not crash.
     Answered(Fingerprint),
 }
--- a/src/quarantine/snapshot.rs
+++ b/src/quarantine/snapshot.rs
@@ -1,4 +1,4 @@
-//! What is known of requests under which upstreams end: an immutable snapshot for the calls.
+//! Immutable snapshot of the quarantine state, for the calls.
 
 use std::collections;
 use std::time;
@@ -6,38 +6,41 @@
 use crate::clock;
 use crate::quarantine;
 
-/// The snapshot.
+/// The quarantine state of a mesh at one moment, as one node knows it.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Snapshot {
-    /// What is held against requests, or for them.
+    /// The state of each request that is quarantined, or that was answered after a crash.
     pub entries: collections::HashMap<quarantine::Fingerprint, quarantine::Entry>,
-    /// Upstreams that ended under a request since one last answered it.
+    /// Crashes under each request since it was last answered, without those that a quarantined
+    /// request explains.
     pub crashes: collections::HashMap<quarantine::Fingerprint, u8>,
 }
 
 impl Snapshot {
-    /// How many requests are held responsible for ends.
+    /// Number of quarantined requests.
     pub fn quarantined_count(&self) -> usize {
-        self.entries.values().filter(|ban| !ban.lifted).count()
+        self.entries.values().filter(|entry| !entry.lifted).count()
     }
 
-    /// For how much longer `print` is refused, see [`quarantine::Entry::remaining`].
+    /// Time until `fingerprint` is no longer refused, see [`quarantine::Entry::remaining`].
     pub fn remaining(
         &self,
-        print: quarantine::Fingerprint,
+        fingerprint: quarantine::Fingerprint,
         spread: f32,
         now: clock::Instant,
     ) -> Option<time::Duration> {
-        self.entries.get(&print)?.remaining(spread, now)
+        self.entries.get(&fingerprint)?.remaining(spread, now)
     }
 
-    /// How many upstreams have ended under `print`, as far as no other request is held responsible.
-    pub fn crashes(&self, print: quarantine::Fingerprint) -> u8 {
-        self.crashes.get(&print).copied().unwrap_or_default()
+    /// Number of crashes under `fingerprint` that no quarantined request explains.
+    pub fn crashes(&self, fingerprint: quarantine::Fingerprint) -> u8 {
+        self.crashes.get(&fingerprint).copied().unwrap_or_default()
     }
 
-    /// Whether something is held against `print` that an answer would clear.
-    pub fn is_suspected(&self, print: quarantine::Fingerprint) -> bool {
-        self.crashes.contains_key(&print) || self.entries.get(&print).is_some_and(|ban| !ban.lifted)
+    /// Whether `fingerprint` is suspected or quarantined, so that an answer to it would change its
+    /// state.
+    pub fn is_suspected(&self, fingerprint: quarantine::Fingerprint) -> bool {
+        self.crashes.contains_key(&fingerprint)
+            || self.entries.get(&fingerprint).is_some_and(|entry| !entry.lifted)
     }
 }
--- a/src/quarantine/table.rs
+++ b/src/quarantine/table.rs
@@ -1,4 +1,4 @@
-//! Which request causes the ends of upstreams.
+//! Determines which request causes the crashes of upstreams.
 
 use std::collections;
 use std::sync::Arc;
@@ -10,44 +10,51 @@
 use crate::host;
 use crate::quarantine;
 
-/// Most ends remembered. Upstreams take seconds to come back, so that a dozen of them fill this in a
-/// minute at least; those that prove what is refused go last.
-const ENDS: usize = 256;
+/// Crashes kept at most. Upstreams take seconds to restart, so that a dozen of them need at least a
+/// minute to fill this; crashes that prove a quarantine are dropped last.
+const MAX_CRASHES: usize = 256;
 
-/// How long an end is remembered; less than an answer that excuses it.
-const AGE: time::Duration = time::Duration::from_secs(600);
+/// Time for which a crash is kept. It is shorter than the time for which an answer that lifts it is
+/// kept.
+const CRASH_TTL: time::Duration = time::Duration::from_secs(600);
 
-/// Most requests of which something is held.
-const BANS: usize = 1024;
+/// Entries kept at most.
+const MAX_ENTRIES: usize = 1024;
 
-/// Digest of what hosts compare; all zero when it is nothing.
+/// Digest of [`Table::quarantined`], by which hosts compare their tables; all zero if there are no
+/// such entries.
 pub type Digest = [u8; 4];
 
-/// Names one end of an upstream in the whole mesh.
+/// Identifies one crash of an upstream in the mesh.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct CrashId {
-    /// The node beside it.
+    /// The node beside the upstream.
     pub host: host::HostId,
-    /// Number of the end: higher for each one that the node tells, over its restarts too.
+    /// Number of the crash: higher for each crash that the node reports, also after a restart of
+    /// the node.
     pub number: u64,
 }
 
-/// The end of an upstream while it ran calls.
+/// A crash of an upstream while it ran calls.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Crash {
-    /// Its name.
+    /// Its identifier.
     pub id: CrashId,
-    /// When it was.
+    /// When the upstream crashed.
     pub at: clock::Instant,
-    /// What ran; [`quarantine::MAX_FINGERPRINTS`] at most.
+    /// The requests that ran; [`quarantine::MAX_FINGERPRINTS`] at most.
     pub fingerprints: Arc<[quarantine::Fingerprint]>,
 }
 
-/// What is known of ends, and what follows from them.
+/// The crashes that a node knows of, and the requests that it quarantines because of them.
 ///
-/// Invariants: `crashes` is ordered by the time at which they became known, and has each end once; `counts`
-/// tells for each print in how many of them it is; `entries` has no more than a bounded number of entries. Two tables
-/// that have seen the same ends and answers, in whatever order, hold the same requests responsible.
+/// A crash *implicates* a request that ran there and that no upstream has answered since. A crash
+/// is *explained* if it implicates a quarantined request.
+///
+/// Invariants: `crashes` holds each crash once, in the order in which they were recorded; `counts`
+/// holds for each fingerprint the number of `crashes` that contain it; `entries` has a bounded
+/// size. Two tables that have recorded the same crashes and answers, in whatever order, quarantine
+/// the same requests.
 #[derive(Debug, Default)]
 pub struct Table {
     crashes: collections::VecDeque<Crash>,
@@ -56,97 +63,108 @@
 }
 
 impl Table {
-    /// Whether there is nothing to remember.
+    /// Whether the table holds neither crashes nor entries.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.entries.is_empty()
     }
 
-    /// The end called `id`.
+    /// The crash with the identifier `id`.
     pub fn crash(&self, id: CrashId) -> Option<&Crash> {
-        self.crashes.iter().find(|end| end.id == id)
+        self.crashes.iter().find(|crash| crash.id == id)
     }
 
-    /// What is held of `print`.
-    pub fn entry(&self, print: quarantine::Fingerprint) -> Option<quarantine::Entry> {
-        self.entries.get(&print).copied()
+    /// The entry of `fingerprint`.
+    pub fn entry(&self, fingerprint: quarantine::Fingerprint) -> Option<quarantine::Entry> {
+        self.entries.get(&fingerprint).copied()
     }
 
-    /// What is held of the requests that are responsible for ends, or were until they were answered: this
-    /// is what hosts compare.
+    /// The entries of requests that are quarantined, or were until they were answered: the ones
+    /// that hosts compare and exchange.
     pub fn quarantined(
         &self,
     ) -> impl Iterator<Item = (quarantine::Fingerprint, quarantine::Entry)> {
-        self.entries().filter(|(_, ban)| ban.crashes >= quarantine::THRESHOLD)
+        self.entries().filter(|(_, entry)| entry.crashes >= quarantine::THRESHOLD)
     }
 
-    /// What is held of all requests.
+    /// All entries, also those of requests that were never quarantined.
     pub fn entries(&self) -> impl Iterator<Item = (quarantine::Fingerprint, quarantine::Entry)> {
-        self.entries.iter().map(|(print, ban)| (*print, *ban))
+        self.entries.iter().map(|(fingerprint, entry)| (*fingerprint, *entry))
     }
 
-    /// Takes in the end of an upstream; `false` when it was known, or is too old to say anything.
-    pub fn record_crash(&mut self, end: Crash, now: clock::Instant) -> bool {
+    /// Records a crash; `false` if it was known already or is too old to be kept.
+    pub fn record_crash(&mut self, crash: Crash, now: clock::Instant) -> bool {
         self.expire(now);
-        if now.since(end.at) > AGE || self.crash(end.id).is_some() {
+        if now.since(crash.at) > CRASH_TTL || self.crash(crash.id).is_some() {
             return false;
         }
-        if self.crashes.len() >= ENDS {
-            self.drop_one();
+        if self.crashes.len() >= MAX_CRASHES {
+            self.evict_crash();
         }
-        for print in end.fingerprints.iter() {
-            *self.counts.entry(*print).or_default() += 1;
+        for fingerprint in crash.fingerprints.iter() {
+            *self.counts.entry(*fingerprint).or_default() += 1;
         }
-        let prints = end.fingerprints.to_vec();
-        self.crashes.push_back(end);
-        self.judge(&prints);
+        let fingerprints = crash.fingerprints.to_vec();
+        self.crashes.push_back(crash);
+        self.judge(&fingerprints);
         true
     }
 
-    /// An upstream has answered `print` at `at`; gives how many ends that excuses.
-    pub fn record_answer(&mut self, print: quarantine::Fingerprint, at: clock::Instant) -> u8 {
-        let open = self.counts.contains_key(&print).then(|| self.unexplained(print).len());
-        let open = u8::try_from(open.unwrap_or_default()).unwrap_or(u8::MAX);
-        let ends = open.max(self.entries.get(&print).map_or(0, |ban| ban.crashes));
-        let ban = quarantine::Entry { crashes: ends, lifted: true, last: at };
-        if ends > 0 && self.merge(print, ban, at) { ends } else { 0 }
+    /// Records that an upstream answered `fingerprint` at `at`; returns the number of crashes that
+    /// no longer implicate it.
+    pub fn record_answer(
+        &mut self,
+        fingerprint: quarantine::Fingerprint,
+        at: clock::Instant,
+    ) -> u8 {
+        let unexplained =
+            self.counts.contains_key(&fingerprint).then(|| self.unexplained(fingerprint).len());
+        let unexplained = u8::try_from(unexplained.unwrap_or_default()).unwrap_or(u8::MAX);
+        let crashes =
+            unexplained.max(self.entries.get(&fingerprint).map_or(0, |entry| entry.crashes));
+        let entry = quarantine::Entry { crashes, lifted: true, last: at };
+        if crashes > 0 && self.merge(fingerprint, entry, at) { crashes } else { 0 }
     }
 
-    /// Takes in what another host holds of `print`; `false` when it is nothing new.
+    /// Merges the entry that another host holds for `fingerprint`; `false` if it changes nothing.
     pub fn merge(
         &mut self,
-        print: quarantine::Fingerprint,
-        ban: quarantine::Entry,
+        fingerprint: quarantine::Fingerprint,
+        entry: quarantine::Entry,
         now: clock::Instant,
     ) -> bool {
-        let known = self.entries.get(&print);
-        if ban.is_expired(now) || known.is_some_and(|known| !ban.supersedes(known)) {
+        let known = self.entries.get(&fingerprint);
+        if entry.is_expired(now) || known.is_some_and(|known| !entry.supersedes(known)) {
             return false;
         }
-        self.put(print, ban);
-        // What ran beside it may be held responsible in its place.
-        let beside = self.crashes.iter().filter(|end| end.fingerprints.contains(&print));
-        let mut prints: Vec<_> = beside.flat_map(|end| end.fingerprints.iter().copied()).collect();
-        prints.sort_unstable();
-        prints.dedup();
-        self.judge(&prints);
+        self.put(fingerprint, entry);
+        // The crashes may now point to a request that ran together with this one.
+        let shared = self.crashes.iter().filter(|crash| crash.fingerprints.contains(&fingerprint));
+        let mut fingerprints: Vec<_> =
+            shared.flat_map(|crash| crash.fingerprints.iter().copied()).collect();
+        fingerprints.sort_unstable();
+        fingerprints.dedup();
+        self.judge(&fingerprints);
         true
     }
 
-    /// Drops what says nothing any more; `true` when that was something.
+    /// Drops expired crashes and entries; `true` if there were any.
     pub fn expire(&mut self, now: clock::Instant) -> bool {
         let before = self.crashes.len() + self.entries.len();
-        while let Some(index) = self.crashes.iter().position(|end| now.since(end.at) > AGE) {
+        while let Some(index) =
+            self.crashes.iter().position(|crash| now.since(crash.at) > CRASH_TTL)
+        {
             self.remove(index);
         }
-        self.entries.retain(|_, ban| !ban.is_expired(now));
+        self.entries.retain(|_, entry| !entry.is_expired(now));
         before > self.crashes.len() + self.entries.len()
     }
 
     /// Digest of [`Table::quarantined`].
     pub fn digest(&self) -> Digest {
-        let word = |(print, ban): (quarantine::Fingerprint, quarantine::Entry)| {
+        let word = |(fingerprint, entry): (quarantine::Fingerprint, quarantine::Entry)| {
             let mut hasher = blake3::Hasher::new();
-            hasher.update(&print.0.to_le_bytes()).update(&[ban.crashes, u8::from(ban.lifted)]);
+            hasher.update(&fingerprint.0.to_le_bytes());
+            hasher.update(&[entry.crashes, u8::from(entry.lifted)]);
             let mut first = [0; 4];
             first.copy_from_slice(&hasher.finalize().as_bytes()[..4]);
             u32::from_le_bytes(first)
@@ -154,115 +172,135 @@
         self.quarantined().map(word).fold(0, |all, word| all ^ word).to_le_bytes()
     }
 
-    /// The snapshot for the calls.
+    /// A snapshot for the calls.
     pub fn snapshot(&self) -> quarantine::Snapshot {
-        let mut ends = collections::HashMap::new();
-        for print in
-            self.crashes.iter().filter(|end| !self.is_explained(end)).flat_map(|e| self.open(e))
+        let mut crashes = collections::HashMap::new();
+        for fingerprint in self
+            .crashes
+            .iter()
+            .filter(|crash| !self.is_explained(crash))
+            .flat_map(|crash| self.implicated(crash))
         {
-            let count: &mut u8 = ends.entry(print).or_default();
+            let count: &mut u8 = crashes.entry(fingerprint).or_default();
             *count = count.saturating_add(1);
         }
-        quarantine::Snapshot { entries: self.entries().collect(), crashes: ends }
+        quarantine::Snapshot { entries: self.entries().collect(), crashes }
     }
 
-    /// Whether `print` is held responsible.
-    fn is_banned(&self, print: quarantine::Fingerprint) -> bool {
-        self.entries.get(&print).is_some_and(|ban| !ban.lifted)
+    /// Whether `fingerprint` is quarantined.
+    fn is_quarantined(&self, fingerprint: quarantine::Fingerprint) -> bool {
+        self.entries.get(&fingerprint).is_some_and(|entry| !entry.lifted)
     }
 
-    /// Whether `end` speaks against `print`: it ran there, and no upstream has answered it since.
-    fn blames(&self, end: &Crash, print: quarantine::Fingerprint) -> bool {
-        end.fingerprints.contains(&print)
-            && !self.entries.get(&print).is_some_and(|ban| ban.lifted && ban.last >= end.at)
+    /// Whether `crash` implicates `fingerprint`: the request ran there, and no upstream has
+    /// answered it since.
+    fn implicates(&self, crash: &Crash, fingerprint: quarantine::Fingerprint) -> bool {
+        crash.fingerprints.contains(&fingerprint)
+            && !self
+                .entries
+                .get(&fingerprint)
+                .is_some_and(|entry| entry.lifted && entry.last >= crash.at)
     }
 
-    /// The prints against which `end` speaks.
-    fn open<'a>(&'a self, end: &'a Crash) -> impl Iterator<Item = quarantine::Fingerprint> {
-        end.fingerprints.iter().copied().filter(|print| self.blames(end, *print))
+    /// The fingerprints that `crash` implicates.
+    fn implicated<'a>(&'a self, crash: &'a Crash) -> impl Iterator<Item = quarantine::Fingerprint> {
+        let all = crash.fingerprints.iter().copied();
+        all.filter(|fingerprint| self.implicates(crash, *fingerprint))
     }
 
-    /// Whether a request is held responsible for `end`.
-    fn is_explained(&self, end: &Crash) -> bool {
-        self.open(end).any(|print| self.is_banned(print))
+    /// Whether `crash` implicates a quarantined request.
+    fn is_explained(&self, crash: &Crash) -> bool {
+        self.implicated(crash).any(|fingerprint| self.is_quarantined(fingerprint))
     }
 
-    /// The ends that speak against `print` and for which nobody is held responsible.
-    fn unexplained(&self, print: quarantine::Fingerprint) -> Vec<&Crash> {
-        let blaming = self.crashes.iter().filter(|end| self.blames(end, print));
-        blaming.filter(|end| !self.is_explained(end)).collect()
+    /// The crashes that implicate `fingerprint` and no quarantined request.
+    fn unexplained(&self, fingerprint: quarantine::Fingerprint) -> Vec<&Crash> {
+        let crashes = self.crashes.iter().filter(|crash| self.implicates(crash, fingerprint));
+        crashes.filter(|crash| !self.is_explained(crash)).collect()
     }
 
-    /// Finds out whether `prints`, of which something has become known, cause ends.
-    fn judge(&mut self, prints: &[quarantine::Fingerprint]) {
-        for print in prints {
-            self.extend(*print);
+    /// Updates the entries of `fingerprints`, for which crashes or answers were recorded.
+    fn judge(&mut self, fingerprints: &[quarantine::Fingerprint]) {
+        for fingerprint in fingerprints {
+            self.extend(*fingerprint);
         }
-        while let Some((print, ban)) = self.convict(prints) {
-            self.put(print, ban);
+        while let Some((fingerprint, entry)) = self.next_quarantine(fingerprints) {
+            self.put(fingerprint, entry);
         }
     }
 
-    /// Counts the ends that came since `print` was held responsible.
-    fn extend(&mut self, print: quarantine::Fingerprint) {
-        let Some(ban) = self.entry(print).filter(|ban| !ban.lifted) else { return };
-        let under = self.crashes.iter().filter(|end| self.blames(end, print));
-        let (mut ends, mut last) = (0u8, ban.last);
-        for end in under {
-            ends = ends.saturating_add(1);
-            last = last.max(end.at);
+    /// Adds the crashes since `fingerprint` was quarantined to its entry.
+    fn extend(&mut self, fingerprint: quarantine::Fingerprint) {
+        let Some(entry) = self.entry(fingerprint).filter(|entry| !entry.lifted) else { return };
+        let implicating = self.crashes.iter().filter(|crash| self.implicates(crash, fingerprint));
+        let (mut crashes, mut last) = (0u8, entry.last);
+        for crash in implicating {
+            crashes = crashes.saturating_add(1);
+            last = last.max(crash.at);
         }
-        self.put(print, quarantine::Entry { crashes: ban.crashes.max(ends), last, ..ban });
+        let crashes = entry.crashes.max(crashes);
+        self.put(fingerprint, quarantine::Entry { crashes, last, ..entry });
     }
 
-    /// The one of `prints` that explains most of the unexplained ends, if that is enough to hold it
-    /// responsible.
-    fn convict(
+    /// The one of `fingerprints` that explains most of the unexplained crashes, with its new entry,
+    /// if these crashes suffice to quarantine it.
+    fn next_quarantine(
         &self,
-        prints: &[quarantine::Fingerprint],
+        fingerprints: &[quarantine::Fingerprint],
     ) -> Option<(quarantine::Fingerprint, quarantine::Entry)> {
-        let least = u16::from(quarantine::THRESHOLD);
-        let often =
-            |print: &&quarantine::Fingerprint| self.counts.get(print).is_some_and(|c| *c >= least);
-        let free = prints.iter().filter(often).filter(|print| !self.is_banned(**print));
-        let under = free.map(|print| (*print, self.unexplained(*print)));
-        let proven = under.filter(|(print, ends)| {
-            let sure = ends.len() >= usize::from(quarantine::SURE);
-            ends.len() >= usize::from(quarantine::THRESHOLD) && (sure || self.is_sole(*print, ends))
+        let min = u16::from(quarantine::THRESHOLD);
+        let frequent = |fingerprint: &&quarantine::Fingerprint| {
+            self.counts.get(fingerprint).is_some_and(|count| *count >= min)
+        };
+        let candidates = fingerprints.iter().filter(frequent);
+        let candidates = candidates.filter(|fingerprint| !self.is_quarantined(**fingerprint));
+        let candidates =
+            candidates.map(|fingerprint| (*fingerprint, self.unexplained(*fingerprint)));
+        let proven = candidates.filter(|(fingerprint, crashes)| {
+            let certain = crashes.len() >= usize::from(quarantine::CERTAINTY_THRESHOLD);
+            crashes.len() >= usize::from(quarantine::THRESHOLD)
+                && (certain || self.is_sole_cause(*fingerprint, crashes))
         });
-        let (print, ends) = proven.max_by_key(|(print, ends)| (ends.len(), *print))?;
-        let last = ends.iter().map(|end| end.at).max()?;
-        let count = u8::try_from(ends.len()).unwrap_or(u8::MAX);
-        Some((print, quarantine::Entry { crashes: count, lifted: false, last }))
+        let (fingerprint, crashes) =
+            proven.max_by_key(|(fingerprint, crashes)| (crashes.len(), *fingerprint))?;
+        let last = crashes.iter().map(|crash| crash.at).max()?;
+        let count = u8::try_from(crashes.len()).unwrap_or(u8::MAX);
+        Some((fingerprint, quarantine::Entry { crashes: count, lifted: false, last }))
     }
 
-    /// Whether no other request than `print` explains all of `ends`.
-    fn is_sole(&self, print: quarantine::Fingerprint, ends: &[&Crash]) -> bool {
-        let Some((first, rest)) = ends.split_first() else { return false };
-        let mut others = self.open(first).filter(|other| *other != print);
-        !others.any(|other| rest.iter().all(|end| self.blames(end, other)))
+    /// Whether no request other than `fingerprint` is implicated by all of `crashes`.
+    fn is_sole_cause(&self, fingerprint: quarantine::Fingerprint, crashes: &[&Crash]) -> bool {
+        let Some((first, rest)) = crashes.split_first() else { return false };
+        let mut others = self.implicated(first).filter(|other| *other != fingerprint);
+        !others.any(|other| rest.iter().all(|crash| self.implicates(crash, other)))
     }
 
-    fn put(&mut self, print: quarantine::Fingerprint, ban: quarantine::Entry) {
-        if self.entries.len() >= BANS && !self.entries.contains_key(&print) {
-            let oldest =
-                self.entries.iter().min_by_key(|(_, ban)| ban.last).map(|(print, _)| *print);
+    /// Stores an entry; a new one replaces the oldest if the table is full.
+    fn put(&mut self, fingerprint: quarantine::Fingerprint, entry: quarantine::Entry) {
+        if self.entries.len() >= MAX_ENTRIES && !self.entries.contains_key(&fingerprint) {
+            let oldest = self.entries.iter().min_by_key(|(_, entry)| entry.last);
+            let oldest = oldest.map(|(fingerprint, _)| *fingerprint);
             oldest.and_then(|oldest| self.entries.remove(&oldest));
         }
-        self.entries.insert(print, ban);
+        self.entries.insert(fingerprint, entry);
     }
 
-    /// Makes room for one more end.
-    fn drop_one(&mut self) {
-        let free = |end: &Crash| !end.fingerprints.iter().any(|print| self.is_banned(*print));
-        let index = self.crashes.iter().position(free).unwrap_or_default();
+    /// Drops the earliest crash under which no quarantined request ran, or else the earliest of
+    /// all.
+    fn evict_crash(&mut self) {
+        let unproven = |crash: &Crash| {
+            !crash.fingerprints.iter().any(|fingerprint| self.is_quarantined(*fingerprint))
+        };
+        let index = self.crashes.iter().position(unproven).unwrap_or_default();
         self.remove(index);
     }
 
     fn remove(&mut self, index: usize) {
-        let Some(end) = self.crashes.remove(index) else { return };
-        for print in end.fingerprints.iter() {
-            if let collections::hash_map::Entry::Occupied(mut count) = self.counts.entry(*print) {
+        let Some(crash) = self.crashes.remove(index) else { return };
+        for fingerprint in crash.fingerprints.iter() {
+            if let collections::hash_map::Entry::Occupied(mut count) =
+                self.counts.entry(*fingerprint)
+            {
                 *count.get_mut() -= 1;
                 if *count.get() == 0 {
                     count.remove();
--- a/src/quarantine/tests/mod.rs
+++ b/src/quarantine/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions on requests under which upstreams end.
+//! Tests of the quarantine of requests that crash upstreams.
 
 use std::net;
 use std::time;
@@ -8,13 +8,13 @@
 use crate::quarantine;
 use crate::quarantine::Fingerprint;
 
+mod answers;
 mod entry;
 mod fingerprint;
 mod innocents;
-mod proven;
 mod table;
 
-/// The request that ends upstreams.
+/// The request that crashes upstreams.
 const BAD: Fingerprint = Fingerprint(1);
 
 fn at(millis: u64) -> clock::Instant {
@@ -26,29 +26,28 @@
     host::HostId::new(net::SocketAddr::from((ip, 7100)))
 }
 
-/// The end number `number` of the upstream beside `host`, at `millis`, while `prints` ran.
-fn end(by: u16, number: u64, millis: u64, prints: &[u64]) -> quarantine::Crash {
-    let prints = prints.iter().copied().map(Fingerprint).collect();
+/// Crash `number` of the upstream beside host `by`, at `millis`, while it ran `fingerprints`.
+fn crash(by: u16, number: u64, millis: u64, fingerprints: &[u64]) -> quarantine::Crash {
     quarantine::Crash {
         id: quarantine::CrashId { host: host(by), number },
         at: at(millis),
-        fingerprints: prints,
+        fingerprints: fingerprints.iter().copied().map(Fingerprint).collect(),
     }
 }
 
-/// A table that has seen the ends of upstreams beside hosts 0, 1, ... a second apart, at which `prints`
-/// ran.
-fn seen(prints: &[&[u64]]) -> quarantine::Table {
+/// A table with crashes of the upstreams beside hosts 0, 1, ..., a second apart, each while it ran
+/// the given fingerprints.
+fn table_of(crashes: &[&[u64]]) -> quarantine::Table {
     let mut table = quarantine::Table::default();
-    for (number, prints) in (0..).zip(prints) {
+    for (number, fingerprints) in (0..).zip(crashes) {
         let millis = 1000 * (1 + u64::from(number));
-        assert!(table.record_crash(end(number, 0, millis, prints), at(millis)));
+        assert!(table.record_crash(crash(number, 0, millis, fingerprints), at(millis)));
     }
     table
 }
 
-fn refused(table: &quarantine::Table, print: Fingerprint, now: clock::Instant) -> bool {
-    table.snapshot().remaining(print, 0.0, now).is_some()
+fn refused(table: &quarantine::Table, fingerprint: Fingerprint, now: clock::Instant) -> bool {
+    table.snapshot().remaining(fingerprint, 0.0, now).is_some()
 }
 
 const SECOND: time::Duration = time::Duration::from_secs(1);
--- a/src/quarantine/tests/table.rs
+++ b/src/quarantine/tests/table.rs
@@ -1,90 +1,93 @@
-//! Tests of finding the request that ends upstreams.
+//! Tests of finding the request that crashes upstreams.
 
 use proptest::prelude::*;
 use rand::SeedableRng as _;
 use rand::seq::SliceRandom as _;
 use rstest::rstest;
 
-use super::{BAD, SECOND, at, end, refused, seen};
+use super::{BAD, SECOND, at, crash, refused, table_of};
 use crate::clock;
 use crate::quarantine;
 use crate::quarantine::Fingerprint;
 
 const NOW: clock::Instant = clock::Instant::from_millis(10_000);
 
-fn is_refused(table: &quarantine::Table, print: u64) -> bool {
-    refused(table, Fingerprint(print), NOW)
+fn is_refused(table: &quarantine::Table, fingerprint: u64) -> bool {
+    refused(table, Fingerprint(fingerprint), NOW)
 }
 
 #[test]
-fn a_request_is_refused_once_three_upstreams_ended_under_it() {
-    assert!(!is_refused(&seen(&[&[1, 2, 3], &[1, 4]]), 1));
-    let table = seen(&[&[1, 2, 3], &[1, 4], &[5, 1, 6]]);
+fn a_request_is_refused_once_three_upstreams_crashed_under_it() {
+    assert!(!is_refused(&table_of(&[&[1, 2, 3], &[1, 4]]), 1));
+    let table = table_of(&[&[1, 2, 3], &[1, 4], &[5, 1, 6]]);
     assert!(is_refused(&table, 1));
-    assert!((2..7).all(|other| !is_refused(&table, other)), "what ran beside it is not");
+    assert!(
+        (2..7).all(|other| !is_refused(&table, other)),
+        "the requests that ran beside it are not refused"
+    );
 }
 
 #[test]
-fn upstreams_that_end_in_the_same_instant_count_each_for_itself() {
+fn crashes_at_the_same_moment_count_separately() {
     let mut table = quarantine::Table::default();
     for host in 0..12 {
-        table.record_crash(end(host, 0, 1000, &[1, 100 + u64::from(host)]), at(1000));
+        table.record_crash(crash(host, 0, 1000, &[1, 100 + u64::from(host)]), at(1000));
     }
     assert!(is_refused(&table, 1));
     assert!((100..112).all(|other| !is_refused(&table, other)));
 }
 
 #[test]
-fn an_end_that_is_told_twice_counts_once() {
-    let mut table = seen(&[&[1, 2], &[1, 3]]);
-    assert!(!table.record_crash(end(0, 0, 1000, &[1, 2]), NOW));
+fn a_crash_that_is_reported_twice_counts_once() {
+    let mut table = table_of(&[&[1, 2], &[1, 3]]);
+    assert!(!table.record_crash(crash(0, 0, 1000, &[1, 2]), NOW));
     assert!(!is_refused(&table, 1));
 }
 
 #[test]
-fn a_harmless_request_beside_the_bad_one_is_spared_while_either_explains_the_ends() {
-    let table = seen(&[&[1, 2], &[1, 2], &[1, 2]]);
-    assert!(!is_refused(&table, 1) && !is_refused(&table, 2), "nobody can tell them apart yet");
-    assert_eq!(table.snapshot().crashes(Fingerprint(2)), 3, "so that they run apart");
-    let table = seen(&[&[1, 2], &[1, 2], &[1, 2], &[1, 3]]);
+fn requests_that_explain_the_same_crashes_are_not_refused_before_one_has_more() {
+    let table = table_of(&[&[1, 2], &[1, 2], &[1, 2]]);
+    assert!(!is_refused(&table, 1) && !is_refused(&table, 2), "they can not be told apart yet");
+    assert_eq!(table.snapshot().crashes(Fingerprint(2)), 3, "enough to run them apart");
+    let table = table_of(&[&[1, 2], &[1, 2], &[1, 2], &[1, 3]]);
     assert!(is_refused(&table, 1) && !is_refused(&table, 2));
 }
 
 #[test]
-fn two_that_can_not_be_told_apart_are_both_refused_in_the_end() {
-    let table = seen(&[&[1, 2], &[1, 2], &[1, 2], &[1, 2], &[1, 2]]);
+fn requests_that_can_not_be_told_apart_are_refused_after_five_crashes() {
+    let table = table_of(&[&[1, 2], &[1, 2], &[1, 2], &[1, 2], &[1, 2]]);
     assert!(is_refused(&table, 1) || is_refused(&table, 2));
 }
 
 #[test]
-fn an_answer_speaks_for_a_request_at_any_time() {
-    let mut table = seen(&[&[7, 2], &[7, 3]]);
+fn an_answer_lifts_the_quarantine_at_any_time() {
+    let mut table = table_of(&[&[7, 2], &[7, 3]]);
     assert_eq!(table.record_answer(Fingerprint(7), at(2500)), 2);
-    table.record_crash(end(8, 0, 3000, &[7, 4]), at(3000));
-    assert!(!is_refused(&table, 7), "only one end since then");
+    table.record_crash(crash(8, 0, 3000, &[7, 4]), at(3000));
+    assert!(!is_refused(&table, 7), "only one crash since the answer");
     assert_eq!(table.snapshot().crashes(Fingerprint(7)), 1);
-    let mut table = seen(&[&[7], &[7], &[7]]);
+    let mut table = table_of(&[&[7], &[7], &[7]]);
     assert!(is_refused(&table, 7));
     assert_eq!(table.record_answer(Fingerprint(7), at(5000)), 3);
     assert!(!is_refused(&table, 7));
-    assert_eq!(table.record_answer(Fingerprint(8), at(5000)), 0, "nothing was held against it");
+    assert_eq!(table.record_answer(Fingerprint(8), at(5000)), 0, "it was not suspected");
 }
 
 #[test]
-fn evidence_comes_back_when_the_one_held_responsible_is_cleared() {
-    let ends: &[&[u64]] = &[&[1, 7], &[1, 7], &[7, 3], &[1, 7], &[7, 4]];
-    let mut table = seen(ends);
+fn crashes_point_to_another_request_once_the_quarantined_one_is_answered() {
+    let crashes: &[&[u64]] = &[&[1, 7], &[1, 7], &[7, 3], &[1, 7], &[7, 4]];
+    let mut table = table_of(crashes);
     assert!(is_refused(&table, 7) && !is_refused(&table, 1));
     table.record_answer(Fingerprint(7), at(6000));
-    assert!(is_refused(&table, 1), "three of the ends are left to explain");
+    assert!(is_refused(&table, 1), "three of the crashes are unexplained again");
 }
 
 #[test]
-fn a_harmless_request_through_ten_ordinary_ends_is_never_refused() {
+fn a_request_that_is_answered_after_each_crash_is_never_refused() {
     let mut table = quarantine::Table::default();
     for number in 0..10 {
         let millis = 1000 * (1 + u64::from(number));
-        table.record_crash(end(number, 0, millis, &[7, 100 + u64::from(number)]), at(millis));
+        table.record_crash(crash(number, 0, millis, &[7, 100 + u64::from(number)]), at(millis));
         assert!(!refused(&table, Fingerprint(7), at(millis)));
         table.record_answer(Fingerprint(7), at(millis + 500));
     }
@@ -92,38 +95,38 @@
 
 #[rstest]
 #[case::while_it_is_refused(150, 600)]
-#[case::at_the_trial(300, 600)]
-#[case::when_the_first_ends_are_forgotten(610, 300)]
-fn one_more_end_refuses_it_anew(#[case] after: u32, #[case] seconds: u32) {
-    let mut table = seen(&[&[1], &[1], &[1]]);
+#[case::as_the_refusal_ends(300, 600)]
+#[case::once_the_first_crashes_have_expired(610, 300)]
+fn one_more_crash_refuses_it_again(#[case] after: u32, #[case] seconds: u32) {
+    let mut table = table_of(&[&[1], &[1], &[1]]);
     assert_eq!(table.snapshot().remaining(BAD, 0.0, at(3000)), Some(300 * SECOND));
     let later = at(3000) + SECOND * after;
     assert_eq!(refused(&table, BAD, later), after < 300);
-    table.record_crash(end(9, 0, later.as_micros() / 1000, &[1, 2]), later);
+    table.record_crash(crash(9, 0, later.as_micros() / 1000, &[1, 2]), later);
     assert_eq!(table.snapshot().remaining(BAD, 0.0, later), Some(seconds * SECOND));
 }
 
 #[test]
-fn everything_is_forgotten_in_the_end() {
-    let mut table = seen(&[&[1, 2], &[1, 3], &[1, 4]]);
+fn crashes_and_entries_expire() {
+    let mut table = table_of(&[&[1, 2], &[1, 3], &[1, 4]]);
     table.expire(NOW + 2000 * SECOND);
     assert!(table.is_empty());
     assert_eq!(table.digest(), quarantine::Digest::default());
 }
 
 #[test]
-fn ten_thousand_bad_requests_take_up_no_more_than_some_hundred() {
-    let mut table = seen(&[&[1], &[1], &[1]]);
+fn the_size_of_the_table_is_bounded() {
+    let mut table = table_of(&[&[1], &[1], &[1]]);
     for number in 0..10_000 {
-        let prints: Vec<u64> = (0..64).map(|p| 1000 + number * 64 + p).collect();
-        table.record_crash(end(20, number, 4000 + number, &prints), at(4000 + number));
+        let fingerprints: Vec<u64> = (0..64).map(|index| 1000 + number * 64 + index).collect();
+        table.record_crash(crash(20, number, 4000 + number, &fingerprints), at(4000 + number));
     }
-    assert!(refused(&table, BAD, at(15_000)), "what is proven goes last");
+    assert!(refused(&table, BAD, at(15_000)), "crashes that prove a quarantine are dropped last");
     let known = table.snapshot();
     assert!(known.crashes.len() <= 256 * quarantine::MAX_FINGERPRINTS, "{}", known.crashes.len());
     for number in 0..5000 {
-        let ban = quarantine::Entry { crashes: 3, lifted: false, last: at(15_000) };
-        table.merge(Fingerprint(1_000_000 + number), ban, at(15_000));
+        let entry = quarantine::Entry { crashes: 3, lifted: false, last: at(15_000) };
+        table.merge(Fingerprint(1_000_000 + number), entry, at(15_000));
     }
     assert!(table.entries().count() <= 1024);
 }
@@ -134,48 +137,48 @@
         ..ProptestConfig::with_cases(128)
     })]
 
-    /// Hosts learn of ends in any order and agree in the end; of all requests the bad one alone is
-    /// refused, as it runs wherever an upstream ends.
+    /// Hosts that learn of the same crashes in any order come to the same result: only the bad
+    /// request, which ran at every crash, is refused.
     #[test]
-    fn hosts_agree_whatever_the_order(
+    fn hosts_agree_whatever_the_order_of_crashes(
         companions in proptest::collection::vec(proptest::collection::vec(2u64..40, 0..9), 4..20),
         seed in any::<u64>(),
     ) {
-        let ends: Vec<_> = (0u16..).zip(&companions).map(|(number, others)| {
-            let prints: Vec<u64> = others.iter().copied().chain([1]).collect();
-            end(number, 0, 1000 + u64::from(number), &prints)
+        let crashes: Vec<_> = (0u16..).zip(&companions).map(|(number, others)| {
+            let fingerprints: Vec<u64> = others.iter().copied().chain([1]).collect();
+            crash(number, 0, 1000 + u64::from(number), &fingerprints)
         }).collect();
         let mut first = quarantine::Table::default();
-        ends.iter().for_each(|end| { first.record_crash(end.clone(), NOW); });
-        let mut shuffled = ends.clone();
+        crashes.iter().for_each(|crash| { first.record_crash(crash.clone(), NOW); });
+        let mut shuffled = crashes.clone();
         shuffled.shuffle(&mut rand::rngs::Xoshiro256PlusPlus::seed_from_u64(seed));
         let mut second = quarantine::Table::default();
-        shuffled.iter().for_each(|end| { second.record_crash(end.clone(), NOW); });
-        let names = |table: &quarantine::Table| {
-            table.quarantined().map(|(print, _)| print).collect::<Vec<_>>()
+        shuffled.iter().for_each(|crash| { second.record_crash(crash.clone(), NOW); });
+        let fingerprints = |table: &quarantine::Table| {
+            table.quarantined().map(|(fingerprint, _)| fingerprint).collect::<Vec<_>>()
         };
-        if names(&first) == [BAD] {
+        if fingerprints(&first) == [BAD] {
             prop_assert_eq!(first.digest(), second.digest());
         }
-        prop_assert!(names(&second).contains(&BAD) || names(&second).is_empty());
+        prop_assert!(fingerprints(&second).contains(&BAD) || fingerprints(&second).is_empty());
     }
 }
 
 #[rstest]
 #[case::later(3, false, 2000, true)]
 #[case::earlier(9, true, 100, false)]
-#[case::same_moment_more_ends(4, false, 1010, true)]
-#[case::same_moment_fewer_ends(2, false, 1010, false)]
+#[case::same_moment_more_crashes(4, false, 1010, true)]
+#[case::same_moment_fewer_crashes(2, false, 1010, false)]
 #[case::same_moment_answered(3, true, 990, true)]
-fn the_later_account_of_a_request_holds(
-    #[case] ends: u8,
-    #[case] cleared: bool,
+fn the_later_entry_of_a_request_supersedes(
+    #[case] crashes: u8,
+    #[case] lifted: bool,
     #[case] millis: u64,
-    #[case] holds: bool,
+    #[case] supersedes: bool,
 ) {
     let mut table = quarantine::Table::default();
     let known = quarantine::Entry { crashes: 3, lifted: false, last: at(1000) };
     assert!(table.merge(BAD, known, at(1000)));
-    let other = quarantine::Entry { crashes: ends, lifted: cleared, last: at(millis) };
-    assert_eq!(table.merge(BAD, other, at(2000)), holds);
+    let other = quarantine::Entry { crashes, lifted, last: at(millis) };
+    assert_eq!(table.merge(BAD, other, at(2000)), supersedes);
 }
