--- a/src/member/quarantined.rs
+++ b/src/member/quarantined.rs
@@ -83,7 +83,7 @@
 }
 
 impl member::Member {
-    /// Whether [`member::Member::snapshot`] would give something else than last time.
+    /// Whether [`member::Member::quarantine_snapshot`] would give something else than last time.
     pub fn quarantine_changed(&self) -> bool {
         self.quarantine.changed
     }
