--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -1,10 +1,12 @@
-//! Moving a service's calls to another version of its upstreams, a small share first.
+//! Roll-outs: moving the calls of a service to another version of its upstreams, a small share
+//! first.
 //!
-//! An operator orders a move; upstreams of the new version start beside those of the old one. Every
-//! entry follows the order by itself, from what it reads in the configuration and in the view of the
-//! hosts: no agreement is needed, and one that knows nothing of an order sends the new version nothing
-//! ([`plan`]). The nodes beside new upstreams count what these answer; the counts travel with the
-//! membership, and each node compares them with what it sees of the old version ([`judge`]).
+//! An operator orders a move, and upstreams of the new version start beside those of the old one.
+//! Every entry node follows the order by itself, from what it reads in the configuration and in its
+//! view of the hosts, without an agreement; a node that does not know of the order sends no calls
+//! to the new version ([`plan`]). The nodes beside new upstreams count the answers of these. The
+//! counts travel with the membership messages, and each node compares them with the answers that it
+//! gets from the old version ([`judge`]).
 
 pub mod counts;
 pub mod judge;
@@ -30,21 +32,22 @@
 /// An operator's order to move a service to a version of its upstreams.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Order {
-    /// Number of the order: one that comes later has a higher one, also for the same version.
+    /// Number of the order; a later order has a higher one, also for the same version.
     pub number: u64,
     /// The version that is to serve in the end.
     pub version: SmolStr,
-    /// Time within which the move is to end.
+    /// Time within which the move has to end.
     pub within: time::Duration,
 }
 
 impl Order {
-    /// Whether `other` asks for the same.
+    /// Whether `other` has the same version and the same time.
     pub fn has_same_goal(&self, other: &Self) -> bool {
         self.version == other.version && self.within == other.within
     }
 
-    /// Whether `other` is this order, read again from a log that came back from an older copy.
+    /// Whether `other` is this order, read again after the log was restored from an older copy and
+    /// started a new epoch.
     fn is_reread_as(&self, other: &Self) -> bool {
         self.has_same_goal(other) && logs::epoch(self.number) < logs::epoch(other.number)
     }
--- a/src/rollout/shell.rs
+++ b/src/rollout/shell.rs
@@ -1,4 +1,4 @@
-//! The thread that says what becomes of orders.
+//! The duty that publishes the status of roll-out orders.
 
 use std::sync::Arc;
 use std::time;
@@ -14,25 +14,25 @@
 use crate::rollout::table;
 use crate::view;
 
-/// Time between two hosts that may say the same: the first in the order of their names says it at once,
-/// the next looks whether it has been said. A read and a conditional write take tens of
-/// milliseconds.
-const TURN: time::Duration = time::Duration::from_millis(250);
+/// Delay between two hosts that may publish the same status: the first in the order of their ids
+/// writes it at once, and the next one reads first whether it has been written. A read and a
+/// conditional write take tens of milliseconds.
+const TURN_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
-/// Hosts that take turns; all later ones look at the same time.
-const TURNS: u32 = 8;
+/// Turns after which all remaining hosts write at the same time.
+const MAX_TURNS: u32 = 8;
 
-/// Pause after a failed read or write.
-const PAUSE: time::Duration = time::Duration::from_millis(400);
+/// Delay before a retry after a failed read or write.
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(400);
 
-/// What joins the duty to the call path.
+/// The channels that connect the duty to its node.
 #[derive(Debug)]
 pub struct Wiring<S> {
-    /// Where it is said.
+    /// Where statuses are published.
     pub statuses: S,
-    /// What the call path believes.
+    /// The progress of each order as the call path determines it.
     pub progress: watch::Receiver<Vec<table::Progress>>,
-    /// What is said, to the call path.
+    /// The published statuses, for the call path.
     pub status_list: watch::Sender<status::StatusList>,
     /// The known hosts.
     pub view: watch::Receiver<Arc<view::View>>,
@@ -40,19 +40,19 @@
     pub stage: watch::Receiver<node::Stage>,
 }
 
-/// The ends of the call path.
+/// The channels that the call path uses.
 #[derive(Clone, Debug)]
 pub struct Channels {
-    /// What it believes.
+    /// The progress of each order, for the duty.
     pub progress: watch::Sender<Vec<table::Progress>>,
-    /// What is said.
+    /// The published statuses.
     pub statuses: watch::Receiver<status::StatusList>,
-    /// What it has seen of the upstream beside this node, to its announcement.
+    /// The report on the upstream beside this node, for its announcement.
     pub trial: watch::Sender<rollout::TrialReport>,
 }
 
 impl Default for Channels {
-    /// Ends that lead nowhere.
+    /// Channels without a duty at the other end.
     fn default() -> Self {
         Self {
             progress: watch::Sender::default(),
@@ -66,47 +66,47 @@
 ///
 /// # Errors
 ///
-/// None; a store that does not answer is asked again.
+/// None; failed reads and writes are retried.
 pub async fn run<S: status::Statuses>(
     ctx: context::Context,
     me: host::HostId,
     wiring: Wiring<S>,
 ) -> Result<(), std::convert::Infallible> {
     let mut stage = wiring.stage.clone();
-    let mut beliefs = wiring.progress.clone();
-    beliefs.mark_changed();
+    let mut progress = wiring.progress.clone();
+    progress.mark_changed();
     loop {
         tokio::select! {
-            // An ended sender means that the process ends.
+            // The sender is dropped when the process ends.
             _ = stage.wait_for(|&stage| stage == node::Stage::End) => return Ok(()),
-            changed = beliefs.changed() => if changed.is_err() { return Ok(()) },
+            changed = progress.changed() => if changed.is_err() { return Ok(()) },
         }
-        let list = beliefs.borrow_and_update().clone();
+        let list = progress.borrow_and_update().clone();
         if list.is_empty() {
             continue;
         }
         tokio::select! {
             _ = stage.wait_for(|&stage| stage == node::Stage::End) => return Ok(()),
-            // What the call path comes to believe meanwhile is said next.
-            _ = beliefs.changed() => beliefs.mark_changed(),
-            () = say(ctx, me, &wiring, &list) => {}
+            // Newer progress replaces the list that is being published.
+            _ = progress.changed() => progress.mark_changed(),
+            () = publish(ctx, me, &wiring, &list) => {}
         }
     }
 }
 
-/// Says what is to be said of `list`, once it is this host's turn.
-async fn say<S: status::Statuses>(
+/// Writes the statuses of `list` that are not published yet, once it is this host's turn.
+async fn publish<S: status::Statuses>(
     ctx: context::Context,
     me: host::HostId,
     wiring: &Wiring<S>,
     list: &[table::Progress],
 ) {
     let began = ctx.now();
-    let turn = TURN * rank(me, &wiring.view.borrow());
+    let turn = TURN_INTERVAL * rank(me, &wiring.view.borrow());
     loop {
-        let Some(said) = read(wiring).await else { continue };
+        let Some(published) = read(wiring).await else { continue };
         let missing: Vec<status::Status> =
-            list.iter().filter_map(|belief| status::next(belief, &said)).collect();
+            list.iter().filter_map(|progress| status::unpublished(progress, &published)).collect();
         if missing.is_empty() {
             return;
         }
@@ -114,47 +114,54 @@
             continue;
         }
         for status in missing {
-            write(wiring, &status, said.position).await;
+            write(wiring, &status, published.position).await;
         }
     }
 }
 
-/// Waits for the turn that comes `turn` after `began`; whether it had come already.
+/// Waits until `turn` has passed since `began`; `true` if it had passed before the call.
 async fn wait(ctx: context::Context, began: clock::Instant, turn: time::Duration) -> bool {
-    let left = turn.saturating_sub(ctx.now().since(began));
-    tokio::time::sleep(left).await;
-    left.is_zero()
+    let remaining = turn.saturating_sub(ctx.now().since(began));
+    tokio::time::sleep(remaining).await;
+    remaining.is_zero()
 }
 
+/// Reads the published statuses and passes them to the call path; `None` if the read failed.
 async fn read<S: status::Statuses>(wiring: &Wiring<S>) -> Option<status::StatusList> {
     match wiring.statuses.read().await {
-        Ok(said) => {
-            wiring.status_list.send_replace(said.clone());
-            Some(said)
+        Ok(published) => {
+            wiring.status_list.send_replace(published.clone());
+            Some(published)
         }
         Err(error) => {
-            log::warn!(error:% = error; "can't read what is said of roll-outs");
-            tokio::time::sleep(PAUSE).await;
+            log::warn!(error:% = error; "failed to read the statuses of roll-outs");
+            tokio::time::sleep(RETRY_DELAY).await;
             None
         }
     }
 }
 
-async fn write<S: status::Statuses>(wiring: &Wiring<S>, status: &status::Status, mark: u64) {
+async fn write<S: status::Statuses>(wiring: &Wiring<S>, status: &status::Status, position: u64) {
     let (service, version) = (status.service.as_str(), status.version.as_str());
-    match wiring.statuses.write(status, mark).await {
+    match wiring.statuses.write(status, position).await {
         Ok(done) => {
-            log::info!(service, version, state:? = status.state, mark, done; "says what becomes of a roll-out");
+            log::info!(
+                service, version, state:? = status.state, mark = position, done;
+                "submitted the status of a roll-out"
+            );
         }
         Err(error) => {
-            log::warn!(service, version, state:? = status.state, error:% = error; "can't say what becomes of a roll-out");
-            tokio::time::sleep(PAUSE).await;
+            log::warn!(
+                service, version, state:? = status.state, error:% = error;
+                "failed to write the status of a roll-out"
+            );
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// The place of `me` among the hosts that answer, at most [`TURNS`].
+/// The turn of `me`: its position among the hosts that are alive, at most [`MAX_TURNS`].
 fn rank(me: host::HostId, view: &view::View) -> u32 {
     let before = view.hosts.iter().filter(|h| h.id < me && h.health == view::Health::Alive);
-    u32::try_from(before.count()).unwrap_or(u32::MAX).min(TURNS)
+    u32::try_from(before.count()).unwrap_or(u32::MAX).min(MAX_TURNS)
 }
--- a/src/rollout/status.rs
+++ b/src/rollout/status.rs
@@ -1,4 +1,4 @@
-//! What the mesh says of its orders to the operator, and what a node adds to that.
+//! The status of roll-out orders that the mesh publishes to the operator.
 
 use std::error;
 use std::future;
@@ -9,19 +9,19 @@
 use crate::rollout;
 use crate::rollout::table;
 
-/// How far an order is, as the operator is told.
+/// How far an order is, as published to the operator.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
     /// Both versions serve.
     Serving,
-    /// The new version serves; the old upstreams may end at once.
+    /// The new version serves; the old upstreams may stop at once.
     Completed,
     /// The old version serves; the new upstreams may drain.
     RolledBack,
 }
 
-/// What is said of one service.
+/// The published status of one service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Status {
     /// The service.
@@ -34,38 +34,38 @@
     pub state: State,
 }
 
-/// All that is said.
+/// The published statuses of all services.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct StatusList {
-    /// The newest status of each service.
+    /// The latest status of each service.
     pub list: Vec<Status>,
-    /// How far the list goes: what is written after it is not in it.
+    /// Position up to which records were read; the list does not include later ones.
     pub position: u64,
 }
 
-/// Where it is said.
+/// A store of published statuses.
 pub trait Statuses: Clone + Send + 'static {
-    /// Why it could not be read or written.
+    /// Why a read or a write failed.
     type Error: error::Error + Send + Sync + 'static;
 
-    /// What is said.
+    /// Reads the statuses of all services.
     fn read(&self) -> impl future::Future<Output = Result<StatusList, Self::Error>>;
 
-    /// Says `status`, unless anything was said after `mark`; whether it is said now.
+    /// Writes `status` unless another one was written after `position`; `true` if it was written.
     fn write(
         &self,
         status: &Status,
-        mark: u64,
+        position: u64,
     ) -> impl future::Future<Output = Result<bool, Self::Error>>;
 }
 
 impl State {
-    /// Whether nothing follows.
+    /// Whether the order is over.
     pub const fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack)
     }
 
-    /// The stage of a node that reads this; `None` while the order is under way.
+    /// The stage that a node takes over from this state; `None` while the order is under way.
     pub const fn stage(self) -> Option<rollout::Stage> {
         match self {
             Self::Serving => None,
@@ -85,21 +85,22 @@
     }
 }
 
-/// What has to be said of `belief` where `said` is what is said already; `None` when nothing has.
+/// The status of `progress` if it is not in `published` yet.
 ///
-/// The first end of an order stays: a node that comes to another one later says nothing.
-pub fn next(belief: &table::Progress, said: &StatusList) -> Option<Status> {
-    let state = State::from(belief.stage);
-    let known = said.list.iter().find(|status| status.service == belief.service);
-    let same = known.filter(|status| status.order == belief.order.number);
-    let news = match same {
+/// The first final state of an order stands: a node that comes to another one later does not
+/// publish it.
+pub fn unpublished(progress: &table::Progress, published: &StatusList) -> Option<Status> {
+    let state = State::from(progress.stage);
+    let known = published.list.iter().find(|status| status.service == progress.service);
+    let same = known.filter(|status| status.order == progress.order.number);
+    let is_new = match same {
         None => true,
         Some(status) => !status.state.is_final() && status.state != state,
     };
-    news.then(|| Status {
-        service: belief.service.clone(),
-        version: belief.order.version.clone(),
-        order: belief.order.number,
+    is_new.then(|| Status {
+        service: progress.service.clone(),
+        version: progress.order.version.clone(),
+        order: progress.order.number,
         state,
     })
 }
--- a/src/rollout/stream.rs
+++ b/src/rollout/stream.rs
@@ -1,4 +1,4 @@
-//! What is said of roll-outs, kept in a stream of the product's own log.
+//! Statuses of roll-outs in a stream of the product's own log.
 
 use std::time;
 
@@ -8,10 +8,11 @@
 use crate::logs;
 use crate::rollout::status;
 
-/// Most records read at once.
-const BATCH: u32 = 256;
+/// Records read at once at most.
+const BATCH_RECORDS: u32 = 256;
 
-/// Statuses as records of a stream; the last one of each service holds, the first end of an order stays.
+/// Statuses as records of a stream. The last record of a service is its status, but the first final
+/// state of an order stands.
 #[derive(Clone, Debug)]
 pub struct Stream<L> {
     log: L,
@@ -20,15 +21,15 @@
 /// Why the stream can't be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum Error<E> {
-    /// The log did not answer or refused.
-    #[error("the log did not take it")]
+    /// The log did not answer or refused the request.
+    #[error("request to the log failed")]
     Log(#[source] E),
-    /// A status can't be written as JSON.
-    #[error("a status can't be written")]
+    /// A status can't be encoded as JSON.
+    #[error("failed to encode a status as JSON")]
     Json(#[from] serde_json::Error),
 }
 
-/// A status as it is kept.
+/// A status as a record of the stream.
 #[derive(Debug, Deserialize, Serialize)]
 struct Record {
     service: SmolStr,
@@ -38,7 +39,7 @@
 }
 
 impl<L> Stream<L> {
-    /// Statuses kept in `log`.
+    /// Stores statuses in `log`.
     pub const fn new(log: L) -> Self {
         Self { log }
     }
@@ -48,29 +49,37 @@
     type Error = Error<L::Error>;
 
     async fn read(&self) -> Result<status::StatusList, Self::Error> {
-        let mut said = status::StatusList::default();
+        let mut published = status::StatusList::default();
         loop {
-            let read =
-                self.log.read(logs::streams::ROLLOUTS, said.position, BATCH, time::Duration::ZERO);
+            let read = self.log.read(
+                logs::streams::ROLLOUTS,
+                published.position,
+                BATCH_RECORDS,
+                time::Duration::ZERO,
+            );
             let batch = read.await.map_err(Error::Log)?;
             for record in &batch.records {
-                said.position = record.offset + 1;
+                published.position = record.offset + 1;
                 match serde_json::from_slice::<Record>(&record.body) {
-                    Ok(record) => add(&mut said.list, record),
+                    Ok(record) => add(&mut published.list, record),
                     Err(error) => {
-                        log::warn!(offset = record.offset, error:% = error; "a status of a roll-out can't be read");
+                        log::warn!(
+                            offset = record.offset, error:% = error;
+                            "a status of a roll-out can't be read"
+                        );
                     }
                 }
             }
-            if batch.records.is_empty() || said.position >= batch.next {
-                said.position = batch.next;
-                return Ok(said);
+            if batch.records.is_empty() || published.position >= batch.next {
+                published.position = batch.next;
+                return Ok(published);
             }
         }
     }
 
-    /// The log has no conditional append: two hosts may say the same twice, which changes nothing.
-    async fn write(&self, status: &status::Status, _mark: u64) -> Result<bool, Self::Error> {
+    /// Ignores the position, as the log has no conditional append: two hosts may write the same
+    /// status, which changes nothing.
+    async fn write(&self, status: &status::Status, _position: u64) -> Result<bool, Self::Error> {
         let (service, version) = (status.service.clone(), status.version.clone());
         let record = Record { service, version, order: status.order, state: status.state };
         let body = serde_json::to_vec(&record)?;
@@ -79,6 +88,7 @@
     }
 }
 
+/// Adds `record` to `list`, unless the list holds a final state of the same order.
 fn add(list: &mut Vec<status::Status>, record: Record) {
     let status = status::Status {
         service: record.service,
--- a/src/rollout/table.rs
+++ b/src/rollout/table.rs
@@ -1,4 +1,4 @@
-//! The orders of one node.
+//! The roll-out orders that one node follows.
 
 use std::collections;
 use std::time;
@@ -10,134 +10,138 @@
 use crate::rollout;
 use crate::view;
 
-/// Time for which a version that may get calls now is still looked at, so that it gets them.
-const SETTLED: time::Duration = time::Duration::from_secs(1);
+/// Time for which the table is not idle after a version without an order may get calls, so that the
+/// upstreams are classified once more.
+const IDLE_DELAY: time::Duration = time::Duration::from_secs(1);
 
-/// Time for which a version gets no calls that comes beside another one and that no order names: an
-/// order takes some seconds to reach a node, or longer where that is cut off. Without this a third of
-/// the nodes that know of an order late would send half of their calls to a version that nobody has tried.
-const UNORDERED: time::Duration = time::Duration::from_secs(10);
+/// Time without calls for a version that appears beside another one without an order. An order
+/// takes some seconds to reach a node, or longer if the node is cut off. Without this delay, nodes
+/// that learn of an order late, up to a third of all, would send half of their calls to an
+/// untested version.
+const UNORDERED_DELAY: time::Duration = time::Duration::from_secs(10);
 
-/// Answers of the old version after which those seen so far count half: half a minute of one node's calls.
-const SPAN: u32 = 1000;
+/// Answers of the old version at which the counts are halved: half a minute of one node's calls.
+const MAX_OLD_ANSWERS: u32 = 1000;
 
-/// Thousandths in a whole.
-const WHOLE: u32 = 1000;
+/// Thousandths in one.
+const PERMILLE: u32 = 1000;
 
-/// Fewest new upstreams that are tried: their speeds differ, and one that is slow by itself says little of
+/// Fewest new upstreams in a trial. Their speeds differ, and a single slow one says little about
 /// its version.
-const LEAST_TRIED: usize = 3;
+const MIN_TRIAL_UPSTREAMS: usize = 3;
 
-/// One order as this node follows it.
+/// An order and its state on this node.
 #[derive(Clone, Debug)]
 struct Entry {
     order: rollout::Order,
     plan: rollout::Plan,
-    /// Answers of the old version seen here.
+    /// Answers of the old version to calls of this node.
     old: rollout::AnswerCounts,
-    /// Calls divided so far; each gets its side by its place among a thousand.
+    /// Counter of calls, modulo a thousand, that assigns each call to a version group.
     calls: u32,
-    /// New upstreams that are tried before the version is proven.
-    tried: usize,
+    /// New upstreams that get calls before the version is proven.
+    trial_size: usize,
 }
 
-/// The upstreams of one service told apart by version.
+/// Assigns the upstreams of one service to version groups.
 #[derive(Debug)]
 pub struct Classifier<'a> {
     entry: Option<&'a Entry>,
-    met: &'a [Met],
+    seen: &'a [SeenVersion],
     now: clock::Instant,
-    /// New upstreams that may still be tried.
-    left: usize,
+    /// New upstreams that may still join the trial.
+    remaining: usize,
 }
 
 impl Classifier<'_> {
-    /// The side of the next upstream, which has `version`; `None` when no call goes to it. One that is not
-    /// `open` to calls does not count among those that are tried.
+    /// The group of the next upstream, which has `version`; `None` if it gets no calls. An upstream
+    /// that is not `open` to calls does not count towards the size of the trial.
     ///
-    /// An unproven version gets its small share at few upstreams, the same ones everywhere, where it runs as
-    /// many calls at once as the old one does: spread over all of them one that fails under load would
-    /// show it only once it has all the calls.
+    /// An unproven version gets its small share of the calls at few upstreams, the same ones at all
+    /// nodes, so that each of these runs as many calls at once as an old one does. If the share
+    /// were spread over all new upstreams, a version that fails under load would fail only once it
+    /// gets all calls.
     pub fn group_of(&mut self, version: &str, open: bool) -> Option<rollout::VersionGroup> {
         let Some(entry) = self.entry else {
-            let waits = |m: &Met| m.version == version && m.after > self.now;
-            return (!self.met.iter().any(waits)).then_some(rollout::VersionGroup::Any);
+            let waits = |v: &SeenVersion| v.version == version && v.after > self.now;
+            return (!self.seen.iter().any(waits)).then_some(rollout::VersionGroup::Any);
         };
         if entry.order.version != version {
             return Some(rollout::VersionGroup::Old);
         }
         if open {
-            self.left = self.left.checked_sub(1)?;
+            self.remaining = self.remaining.checked_sub(1)?;
         }
         Some(rollout::VersionGroup::New)
     }
 }
 
-/// What this node believes of one order.
+/// How far one order is on this node.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Progress {
     /// The service that is moved.
     pub service: SmolStr,
-    /// The order.
+    /// The order that is followed.
     pub order: rollout::Order,
-    /// How far it is.
+    /// How far the move is.
     pub stage: rollout::Stage,
 }
 
-/// A version that upstreams of a service announce.
+/// A version that upstreams of a service have announced.
 #[derive(Clone, Debug)]
-struct Met {
+struct SeenVersion {
     version: SmolStr,
-    /// From when on it gets calls although nobody has ordered it.
+    /// When it may get calls without an order.
     after: clock::Instant,
 }
 
-/// All orders that this node knows, by service, and the versions that it has met without one.
+/// All orders that a node follows, and the versions that upstreams have announced, by service.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     entries: collections::BTreeMap<SmolStr, Entry>,
-    met: collections::BTreeMap<SmolStr, Vec<Met>>,
+    seen: collections::BTreeMap<SmolStr, Vec<SeenVersion>>,
 }
 
 impl Table {
-    /// Takes in the orders of a configuration and what the hosts tell.
+    /// Updates the orders from a configuration and from what the hosts announce.
     pub fn update(&mut self, mesh: &mesh::Mesh, view: &view::View, now: clock::Instant) {
         let ordered = |service: &SmolStr| mesh.rollouts.iter().any(|r| r.service == *service);
         self.entries.retain(|service, _| ordered(service));
         for rollout in &mesh.rollouts {
-            self.learn(rollout, now);
+            self.add(rollout, now);
         }
-        self.meet(view, now);
+        self.update_versions(view, now);
         for (service, entry) in &mut self.entries {
-            let known = known(service, entry, view);
-            entry.tried = tried(service, entry, view);
+            let known = observe(service, entry, view);
+            entry.trial_size = trial_size(service, entry, view);
             let before = entry.plan.stage();
             entry.plan.update(&known, now);
-            tell(service, entry, &known, before);
+            log_stage_change(service, entry, &known, before);
         }
     }
 
-    /// Takes in the versions that upstreams announce. Those that are there when a service is seen first
-    /// get calls at once.
-    fn meet(&mut self, view: &view::View, now: clock::Instant) {
-        self.met.retain(|service, _| view.services.contains_key(service));
+    /// Updates the versions that upstreams announce. Those that are there when a service is first
+    /// seen may get calls at once.
+    fn update_versions(&mut self, view: &view::View, now: clock::Instant) {
+        self.seen.retain(|service, _| view.services.contains_key(service));
         for service in view.services.keys() {
-            let known = self.met.get(service).map_or(&[][..], Vec::as_slice);
-            let after = if known.is_empty() { now } else { now + UNORDERED };
-            let mut met: Vec<Met> = Vec::new();
+            let known = self.seen.get(service).map_or(&[][..], Vec::as_slice);
+            let after = if known.is_empty() { now } else { now + UNORDERED_DELAY };
+            let mut current: Vec<SeenVersion> = Vec::new();
             for upstream in view.upstreams(service).filter_map(|host| host.upstream.as_ref()) {
-                if met.iter().any(|m| m.version == upstream.version) {
+                if current.iter().any(|v| v.version == upstream.version) {
                     continue;
                 }
-                let old = known.iter().find(|m| m.version == upstream.version);
-                let new = || Met { version: upstream.version.clone(), after };
-                met.push(old.cloned().unwrap_or_else(new));
+                let old = known.iter().find(|v| v.version == upstream.version);
+                let new = || SeenVersion { version: upstream.version.clone(), after };
+                current.push(old.cloned().unwrap_or_else(new));
             }
-            self.met.insert(service.clone(), met);
+            self.seen.insert(service.clone(), current);
         }
     }
 
-    fn learn(&mut self, rollout: &mesh::Rollout, now: clock::Instant) {
+    /// Starts to follow an order, unless it is known already.
+    fn add(&mut self, rollout: &mesh::Rollout, now: clock::Instant) {
         let known = self.entries.get_mut(&rollout.service);
         if let Some(entry) = known {
             if entry.order.number >= rollout.order.number {
@@ -151,53 +155,56 @@
         log::info!(
             service = rollout.service.as_str(), version = rollout.order.version.as_str(),
             order = rollout.order.number, within_ms = millis(rollout.order.within);
-            "follows the order of a roll-out"
+            "following a roll-out order"
         );
         let plan = rollout::Plan::new(rollout.order.within, now);
         let order = rollout.order.clone();
         let old = rollout::AnswerCounts::default();
         self.entries
-            .insert(rollout.service.clone(), Entry { order, plan, old, calls: 0, tried: 0 });
+            .insert(rollout.service.clone(), Entry { order, plan, old, calls: 0, trial_size: 0 });
     }
 
-    /// Takes over the end that the mesh has said of the order `number` for `service`.
+    /// Sets the final stage that the mesh has published for the order `number` of `service`.
     pub fn settle(&mut self, service: &str, number: u64, stage: rollout::Stage) {
         if let Some(entry) = self.entries.get_mut(service).filter(|e| e.order.number == number) {
             entry.plan.settle(stage);
         }
     }
 
-    /// The upstreams that serve the next call for `service`.
+    /// The version group that serves the next call for `service`.
     pub fn next_group(&mut self, service: &str, now: clock::Instant) -> rollout::VersionGroup {
-        /// Prime to a thousand, so that the new version's calls lie evenly among the others.
+        /// Coprime to a thousand, so that the calls of the new version are spread evenly among the
+        /// others.
         const STRIDE: u32 = 617;
         let Some(entry) = self.entries.get_mut(service) else { return rollout::VersionGroup::Any };
-        entry.calls = entry.calls.wrapping_add(STRIDE) % WHOLE;
+        entry.calls = entry.calls.wrapping_add(STRIDE) % PERMILLE;
         let new = entry.calls < entry.plan.share(now);
         if new { rollout::VersionGroup::New } else { rollout::VersionGroup::Old }
     }
 
-    /// Tells the upstreams of `service` apart, in the order of their hosts.
+    /// A classifier for the upstreams of `service`, which have to be passed in the order of their
+    /// hosts.
     pub fn classifier(&self, service: &str, now: clock::Instant) -> Classifier<'_> {
-        let met = self.met.get(service).map_or(&[][..], Vec::as_slice);
-        // Where no other version is left, nothing is gained by waiting for an order.
-        let late = |m: &&Met| m.after > now;
-        let met = if met.iter().all(|m| late(&m)) { &[] } else { met };
+        let seen = self.seen.get(service).map_or(&[][..], Vec::as_slice);
+        // If all versions wait, no other one is left, and waiting for an order would gain nothing.
+        let waits = |v: &&SeenVersion| v.after > now;
+        let seen = if seen.iter().all(|v| waits(&v)) { &[] } else { seen };
         let entry = self.entries.get(service);
         let trial = entry.is_some_and(|e| e.plan.stage() == rollout::Stage::Trial);
-        let left = if trial { entry.map_or(0, |e| e.tried) } else { usize::MAX };
-        Classifier { entry, met, now, left }
+        let remaining = if trial { entry.map_or(0, |e| e.trial_size) } else { usize::MAX };
+        Classifier { entry, seen, now, remaining }
     }
 
-    /// The versions that serve a call for `service` where `side` has no upstream: both while an order is
-    /// open, but never one that was found bad.
+    /// The group that serves a call for `service` if `group` has no upstream; `None` if there is
+    /// none. While an order is under way each group replaces the other, but a version that was
+    /// found bad serves no calls.
     pub fn fallback(
         &self,
         service: &str,
-        side: rollout::VersionGroup,
+        group: rollout::VersionGroup,
     ) -> Option<rollout::VersionGroup> {
         let stage = self.entries.get(service)?.plan.stage();
-        match side {
+        match group {
             rollout::VersionGroup::New => Some(rollout::VersionGroup::Old),
             rollout::VersionGroup::Old if stage != rollout::Stage::RolledBack => {
                 Some(rollout::VersionGroup::New)
@@ -206,70 +213,69 @@
         }
     }
 
-    /// What this node tells the others of the order for the service of its `upstream`, of which it has
-    /// seen the answers `new` under the order they are told with.
+    /// The report to the other nodes on the order for the service of this node's `upstream`.
+    /// `counted` holds the answers of the upstream and the number of the order under which they
+    /// were counted.
     pub fn trial(
         &self,
         upstream: &view::Upstream,
-        seen: rollout::TrialReport,
+        counted: rollout::TrialReport,
     ) -> rollout::TrialReport {
         let Some(entry) = self.entries.get(&upstream.service) else {
             return rollout::TrialReport::default();
         };
-        let condemned = entry.plan.has_rejected();
+        let rejected = entry.plan.has_rejected();
         let order = entry.order.number;
         if upstream.version != entry.order.version {
-            // Only news are worth the way to all hosts.
-            let order = if condemned { order } else { 0 };
-            return rollout::TrialReport {
-                order,
-                rejected: condemned,
-                ..rollout::TrialReport::default()
-            };
+            // A node beside an old upstream reports only that it has found the new version bad.
+            let order = if rejected { order } else { 0 };
+            return rollout::TrialReport { order, rejected, ..rollout::TrialReport::default() };
         }
-        let new = if seen.order == order { seen.new } else { rollout::AnswerCounts::default() };
-        rollout::TrialReport { order, new, old: entry.old, rejected: condemned }
+        let new =
+            if counted.order == order { counted.new } else { rollout::AnswerCounts::default() };
+        rollout::TrialReport { order, new, old: entry.old, rejected }
     }
 
-    /// Number of the order under which an upstream of `version` is tried; 0 when it is not.
+    /// Number of the order that moves `service` to `version`; 0 if there is none.
     pub fn trial_order(&self, service: &str, version: &str) -> u64 {
         let entry = self.entries.get(service).filter(|e| e.order.version == version);
         entry.map_or(0, |entry| entry.order.number)
     }
 
-    /// Notes an answer of the old version of `service`.
+    /// Records an answer of the old version of `service`.
     pub fn record_old(&mut self, service: &str, bad: bool) {
         let Some(entry) = self.entries.get_mut(service) else { return };
         entry.old.record(bad);
-        if entry.old.answers >= SPAN {
+        if entry.old.answers >= MAX_OLD_ANSWERS {
             entry.old = entry.old.halved();
         }
     }
 
-    /// What this node believes of its orders.
+    /// How far each order is on this node.
     pub fn progress(&self) -> Vec<Progress> {
-        let belief = |(service, entry): (&SmolStr, &Entry)| Progress {
+        let progress = |(service, entry): (&SmolStr, &Entry)| Progress {
             service: service.clone(),
             order: entry.order.clone(),
             stage: entry.plan.stage(),
         };
-        self.entries.iter().map(belief).collect()
+        self.entries.iter().map(progress).collect()
     }
 
-    /// Whether there are orders.
+    /// Whether any order is followed.
     pub fn has_orders(&self) -> bool {
         !self.entries.is_empty()
     }
 
-    /// Whether nothing changes with time at `now`: no order, and no version that waits for one.
+    /// Whether the groups don't change with time at `now`: there is no order, and no version that
+    /// waits for calls.
     pub fn is_idle(&self, now: clock::Instant) -> bool {
-        let waits = |met: &Vec<Met>| met.iter().any(|m| m.after + SETTLED > now);
-        self.entries.is_empty() && !self.met.values().any(waits)
+        let waits = |seen: &Vec<SeenVersion>| seen.iter().any(|v| v.after + IDLE_DELAY > now);
+        self.entries.is_empty() && !self.seen.values().any(waits)
     }
 }
 
-/// What `view` tells of the order of `entry`.
-fn known(service: &str, entry: &Entry, view: &view::View) -> rollout::plan::Observations {
+/// What `view` shows of the order of `entry`.
+fn observe(service: &str, entry: &Entry, view: &view::View) -> rollout::plan::Observations {
     let mut known = rollout::plan::Observations {
         new: rollout::AnswerCounts::default(),
         old: entry.old,
@@ -295,15 +301,22 @@
     known
 }
 
-/// How many new upstreams are tried: the same share of the old ones as of the calls.
-fn tried(service: &str, entry: &Entry, view: &view::View) -> usize {
+/// Number of new upstreams in the trial: the same share of the old upstreams as of the calls.
+fn trial_size(service: &str, entry: &Entry, view: &view::View) -> usize {
     let upstreams = view.upstreams(service).filter_map(|host| host.upstream.as_ref());
     let old = upstreams.filter(|upstream| upstream.version != entry.order.version).count();
-    (old * rollout::plan::TRIAL as usize).div_ceil(WHOLE as usize).max(LEAST_TRIED)
+    (old * rollout::plan::TRIAL_PERMILLE as usize)
+        .div_ceil(PERMILLE as usize)
+        .max(MIN_TRIAL_UPSTREAMS)
 }
 
-/// Logs a step of an order with what decided it.
-fn tell(service: &str, entry: &Entry, known: &rollout::plan::Observations, before: rollout::Stage) {
+/// Logs a change of the stage with the observations that caused it.
+fn log_stage_change(
+    service: &str,
+    entry: &Entry,
+    known: &rollout::plan::Observations,
+    before: rollout::Stage,
+) {
     let stage = entry.plan.stage();
     if stage == before {
         return;
@@ -313,7 +326,7 @@
         stage:? = stage, answers = known.new.answers, bad = known.new.bad,
         old_answers = known.old.answers, old_bad = known.old.bad, condemned = known.rejected,
         ready = known.ready, serving = known.serving;
-        "a roll-out has come to another stage"
+        "stage of a roll-out changed"
     );
 }
 
--- a/src/rollout/tests.rs
+++ b/src/rollout/tests.rs
@@ -19,30 +19,31 @@
 use crate::rollout::status;
 use crate::view;
 
-/// Entries of the modelled fleet.
+/// Entry nodes of the modelled mesh.
 const ENTRIES: usize = 90;
 
 /// Calls a second for the service.
-const RATE: u64 = 1_900;
+const CALLS_PER_SECOND: u64 = 1_900;
 
-/// Time for the move.
+/// Time within which the move has to end.
 const WITHIN: time::Duration = time::Duration::from_secs(12);
 
-/// Time until what one node has seen is known to all, a second and a half of gossip.
-const GOSSIP: u64 = 1_500;
+/// Time until all nodes know what one node reports: a second and a half of gossip.
+const GOSSIP_MS: u64 = 1_500;
 
-/// Time between two looks.
-const STEP: u64 = 20;
+/// Time between two updates of the plans.
+const STEP_MS: u64 = 20;
 
-/// Share of the calls and calls beside it that the users allow a bad version.
-const MOST_SHARE: f64 = 0.1;
-const SLACK: f64 = 50.0;
+/// Share of the calls, and calls beyond it, that the users allow a bad version.
+const MAX_SHARE: f64 = 0.1;
+const EXTRA_CALLS: f64 = 50.0;
 
-/// What the new version is like.
+/// Behaviour of the new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Kind {
     Good,
-    /// As the old one, but slow in its first seconds, as every upstream that has just started.
+    /// As the old version, but slow in its first seconds, like every upstream that has just
+    /// started.
     Cold,
     /// A share of bad answers from a moment on, in milliseconds.
     Bad {
@@ -59,24 +60,25 @@
     },
 }
 
-/// How the move ended.
+/// Result of a run of the model.
 #[derive(Debug)]
 struct Result {
-    /// What the first node to end it said.
+    /// The stage of the first node that ended the move.
     stage: rollout::Stage,
-    /// When, in milliseconds.
+    /// When that was, in milliseconds.
     at: u64,
-    /// Calls that the new version got, and all.
+    /// Calls that the new version got.
     new: u64,
+    /// Calls of both versions.
     all: u64,
-    /// Calls that came later than five seconds after the 50th bad answer.
+    /// Calls to the new version later than five seconds after its 50th bad answer.
     late: u64,
 }
 
-/// One node in the model.
+/// An entry node in the model.
 struct Entry {
     plan: Option<rollout::Plan>,
-    /// When it learns of the order; `None` for one that never does.
+    /// When it learns of the order, in milliseconds; `None` if it never does.
     learns: Option<u64>,
     old: rollout::AnswerCounts,
     calls: u32,
@@ -86,8 +88,8 @@
     clock::Instant::from_millis(millis)
 }
 
-/// Runs an order on a fleet of which `deaf` entries in a hundred never hear of it; `old` is the share of
-/// bad answers of the old version.
+/// Runs an order on a mesh of which `deaf` entry nodes in a hundred never learn of it; `old` is the
+/// share of bad answers of the old version.
 fn run(kind: Kind, old: f64, deaf: usize, seed: u64) -> Result {
     let mut rng = rngs::SmallRng::seed_from_u64(seed);
     let learns = |i: usize, rng: &mut rngs::SmallRng| {
@@ -102,50 +104,51 @@
         })
         .collect();
     let mut seen = rollout::AnswerCounts::default();
-    // What is known to all comes from this history of what was seen.
+    // The nodes know the counts as they were one gossip delay ago.
     let mut history = collections::VecDeque::new();
     let mut result = Result { stage: rollout::Stage::Trial, at: 0, new: 0, all: 0, late: 0 };
     let mut fiftieth = None;
-    // Entries beside new upstreams tell what the old version answers; here the last three.
+    // Nodes beside new upstreams report the answers of the old version; here these are the last
+    // three.
     let mut shared = collections::VecDeque::new();
-    let mut condemned = None;
+    let mut rejected = None;
     let end = u64::try_from(WITHIN.as_millis()).expect("some seconds");
-    for now in (0..end).step_by(usize::try_from(STEP).expect("small")) {
+    for now in (0..end).step_by(usize::try_from(STEP_MS).expect("small")) {
         history.push_back((now, seen));
-        while history.len() > 1 && history[1].0 + GOSSIP <= now {
+        while history.len() > 1 && history[1].0 + GOSSIP_MS <= now {
             history.pop_front();
         }
-        let known = if history[0].0 + GOSSIP <= now {
+        let known = if history[0].0 + GOSSIP_MS <= now {
             history[0].1
         } else {
             rollout::AnswerCounts::default()
         };
-        let tellers = entries.iter().rev().take(3).map(|entry| entry.old);
+        let reports = entries.iter().rev().take(3).map(|entry| entry.old);
         shared.push_back((
             now,
-            tellers.fold(rollout::AnswerCounts::default(), rollout::AnswerCounts::plus),
+            reports.fold(rollout::AnswerCounts::default(), rollout::AnswerCounts::plus),
         ));
-        while shared.len() > 1 && shared[1].0 + GOSSIP <= now {
+        while shared.len() > 1 && shared[1].0 + GOSSIP_MS <= now {
             shared.pop_front();
         }
-        let control = if shared[0].0 + GOSSIP <= now {
+        let control = if shared[0].0 + GOSSIP_MS <= now {
             shared[0].1
         } else {
             rollout::AnswerCounts::default()
         };
-        let told = condemned.is_some_and(|when| when + GOSSIP <= now);
+        let rejection_known = rejected.is_some_and(|when| when + GOSSIP_MS <= now);
         for entry in &mut entries {
-            look(entry, (known, control), told, now);
+            update(entry, (known, control), rejection_known, now);
         }
         if entries.iter().any(|e| e.plan.is_some_and(|plan| plan.has_rejected())) {
-            condemned.get_or_insert(now);
+            rejected.get_or_insert(now);
         }
         let mut ended = entries.iter().filter_map(|e| e.plan.map(|plan| plan.stage()));
         let ended = ended.find(|s| status::State::from(*s).is_final());
         if let (Some(stage), 0) = (ended, result.at) {
             (result.stage, result.at) = (stage, now);
         }
-        for _ in 0..RATE * STEP / 1000 {
+        for _ in 0..CALLS_PER_SECOND * STEP_MS / 1000 {
             let entry = &mut entries[rng.random_range(0..ENTRIES)];
             entry.calls = (entry.calls + 617) % 1000;
             let share = entry.plan.map_or(0, |plan| plan.share(at(now)));
@@ -168,11 +171,11 @@
     result
 }
 
-/// One look of an entry at its order.
-fn look(
+/// Updates the plan of an entry node.
+fn update(
     entry: &mut Entry,
     (new, old): (rollout::AnswerCounts, rollout::AnswerCounts),
-    condemned: bool,
+    rejected: bool,
     now: u64,
 ) {
     if entry.learns.is_none_or(|when| when > now) {
@@ -180,7 +183,7 @@
     }
     let plan = entry.plan.get_or_insert_with(|| rollout::Plan::new(WITHIN, at(now)));
     let old = entry.old.plus(old);
-    let known = plan::Observations { new, old, rejected: condemned, ready: 288, serving: 288 };
+    let known = plan::Observations { new, old, rejected, ready: 288, serving: 288 };
     plan.update(&known, at(now));
 }
 
@@ -197,7 +200,7 @@
                 0.0
             }
         }
-        // The few that are tried run as many calls as the old ones.
+        // The few upstreams of the trial run as many calls as the old ones.
         Kind::Load { share: bad } => {
             if share > 0 {
                 bad
@@ -216,13 +219,16 @@
 #[case::one_route(Kind::Route { share: 0.8 }, 0.05)]
 #[case::under_load(Kind::Load { share: 0.4 }, 0.05)]
 #[case::beside_a_fault(Kind::Bad { share: 0.4, from: 0 }, 0.25)]
-fn a_bad_version_is_rolled_back_before_its_share_is_used_up(#[case] kind: Kind, #[case] old: f64) {
+fn a_bad_version_is_rolled_back_before_it_gets_more_than_its_share(
+    #[case] kind: Kind,
+    #[case] old: f64,
+) {
     for seed in 0..20 {
         for deaf in [0, 33] {
             let result = run(kind, old, deaf, seed);
             assert_eq!(result.stage, rollout::Stage::RolledBack, "seed {seed}: {result:?}");
-            let most = result.all as f64 * MOST_SHARE + SLACK;
-            assert!((result.new as f64) <= most, "seed {seed}: {result:?}");
+            let max = result.all as f64 * MAX_SHARE + EXTRA_CALLS;
+            assert!((result.new as f64) <= max, "seed {seed}: {result:?}");
             assert_eq!(result.late, 0, "seed {seed}: {result:?}");
         }
     }
@@ -241,8 +247,8 @@
 }
 
 #[test]
-fn of_a_thousand_good_versions_none_is_condemned() {
-    let wrong = (0..1_000).filter(|&seed| {
+fn of_a_thousand_good_versions_none_is_rejected() {
+    let rejected = (0..1_000).filter(|&seed| {
         let mut rng = rngs::SmallRng::seed_from_u64(seed);
         let (mut new, mut old) =
             (rollout::AnswerCounts::default(), rollout::AnswerCounts::default());
@@ -252,7 +258,7 @@
             judge::is_bad(new, old)
         })
     });
-    assert_eq!(wrong.count(), 0);
+    assert_eq!(rejected.count(), 0);
 }
 
 #[test]
@@ -288,15 +294,18 @@
 
 proptest! {
     #[test]
-    fn an_end_stays(
-        looks in prop::collection::vec((0u32..500, 0u32..500, any::<bool>(), 0u32..80, 0u32..80), 1..60),
+    fn a_final_stage_stays(
+        updates in prop::collection::vec(
+            (0u32..500, 0u32..500, any::<bool>(), 0u32..80, 0u32..80),
+            1..60,
+        ),
     ) {
         let mut plan = rollout::Plan::new(WITHIN, at(0));
         let mut end = None;
-        for (now, (answers, bad, condemned, ready, serving)) in (0..).step_by(200).zip(looks) {
+        for (now, (answers, bad, rejected, ready, serving)) in (0..).step_by(200).zip(updates) {
             let new = rollout::AnswerCounts { answers, bad: bad.min(answers) };
             let old = rollout::AnswerCounts { answers: 100, bad: 3 };
-            plan.update(&plan::Observations { new, old, rejected: condemned, ready, serving }, at(now));
+            plan.update(&plan::Observations { new, old, rejected, ready, serving }, at(now));
             let stage = plan.stage();
             prop_assert!(end.is_none_or(|end| end == stage));
             if status::State::from(stage).is_final() {
@@ -307,9 +316,11 @@
     }
 
     #[test]
-    fn evidence_counts_no_more_bad_answers_than_answers(notes in prop::collection::vec(any::<bool>(), 0..200)) {
+    fn counts_hold_no_more_bad_answers_than_answers(
+        results in prop::collection::vec(any::<bool>(), 0..200),
+    ) {
         let mut seen = rollout::AnswerCounts::default();
-        for bad in notes {
+        for bad in results {
             seen.record(bad);
             prop_assert!(seen.bad <= seen.answers);
             prop_assert!(seen.halved().bad <= seen.halved().answers);
@@ -317,44 +328,48 @@
     }
 }
 
-fn belief(version: &str, stage: rollout::Stage) -> rollout::table::Progress {
+fn progress(version: &str, stage: rollout::Stage) -> rollout::table::Progress {
     let order = rollout::Order { number: 3, version: version.into(), within: WITHIN };
     rollout::table::Progress { service: "shop".into(), order, stage }
 }
 
 #[rstest]
 #[case::nothing_yet(None, rollout::Stage::Trial, Some(status::State::Serving))]
-#[case::said(Some(("v2", status::State::Serving)), rollout::Stage::Trial, None)]
+#[case::published(Some(("v2", status::State::Serving)), rollout::Stage::Trial, None)]
 #[case::completed(
     Some(("v2", status::State::Serving)), rollout::Stage::Completed, Some(status::State::Completed)
 )]
 #[case::another_order(
     Some(("v1", status::State::RolledBack)), rollout::Stage::Trial, Some(status::State::Serving)
 )]
-#[case::the_version_again(
+#[case::the_same_version_ordered_again(
     Some(("v2 before", status::State::RolledBack)), rollout::Stage::Trial, Some(status::State::Serving)
 )]
-#[case::ended_otherwise(Some(("v2", status::State::RolledBack)), rollout::Stage::Completed, None)]
-#[case::late_to_the_order(Some(("v2", status::State::Completed)), rollout::Stage::Trial, None)]
-fn the_first_end_that_is_said_stays(
-    #[case] said: Option<(&str, status::State)>,
+#[case::another_final_state(
+    Some(("v2", status::State::RolledBack)), rollout::Stage::Completed, None
+)]
+#[case::behind_the_published_state(
+    Some(("v2", status::State::Completed)), rollout::Stage::Trial, None
+)]
+fn the_first_final_state_that_is_published_stays(
+    #[case] published: Option<(&str, status::State)>,
     #[case] stage: rollout::Stage,
     #[case] expected: Option<status::State>,
 ) {
-    let list = said.into_iter().map(|(version, state)| status::Status {
+    let list = published.into_iter().map(|(version, state)| status::Status {
         service: "shop".into(),
         version: version.into(),
         order: if version == "v2" { 3 } else { 2 },
         state,
     });
-    let said = status::StatusList { list: list.collect(), position: 7 };
-    let next = status::next(&belief("v2", stage), &said);
+    let published = status::StatusList { list: list.collect(), position: 7 };
+    let next = status::unpublished(&progress("v2", stage), &published);
     assert_eq!(next.map(|status| status.state), expected);
 }
 
 fn host(n: u8, version: &str) -> view::Host {
     let listen = std::net::SocketAddr::from(([10, 0, 0, n], 7000));
-    let place = view::Locality { region: "r".into(), zone: "z".into() };
+    let locality = view::Locality { region: "r".into(), zone: "z".into() };
     let upstream = view::Upstream {
         service: "shop".into(),
         class: "shop".into(),
@@ -367,55 +382,55 @@
     };
     view::Host {
         id: host::HostId::new(listen),
-        locality: place.into(),
+        locality: locality.into(),
         incarnation: 1,
         health: view::Health::Alive,
         upstream: Some(upstream.into()),
     }
 }
 
-/// The sides of the upstreams of `versions`, in the order of their hosts, as `table` has them.
-fn sides(table: &rollout::Table, versions: &[&str], now: u64) -> Vec<Option<plan::VersionGroup>> {
-    let mut sides = table.classifier("shop", at(now));
-    versions.iter().map(|version| sides.group_of(version, true)).collect()
+/// The groups to which `table` assigns upstreams of `versions`, in the order of their hosts.
+fn groups(table: &rollout::Table, versions: &[&str], now: u64) -> Vec<Option<plan::VersionGroup>> {
+    let mut classifier = table.classifier("shop", at(now));
+    versions.iter().map(|version| classifier.group_of(version, true)).collect()
 }
 
-/// A table that has seen the upstreams of `versions` at 1 s.
-fn seen(table: &mut rollout::Table, mesh: &mesh::Mesh, versions: &[&str], now: u64) {
+/// Updates `table` with upstreams of `versions`.
+fn announce(table: &mut rollout::Table, mesh: &mesh::Mesh, versions: &[&str], now: u64) {
     let hosts = (1..).zip(versions).map(|(n, version)| host(n, version));
     table.update(mesh, &view::View::new(hosts.collect()), at(now));
 }
 
 #[test]
-fn a_version_without_an_order_waits_beside_another_one() {
+fn a_version_without_an_order_gets_no_calls_at_first_beside_another_one() {
     let (mut table, mesh) = (rollout::Table::default(), mesh::Mesh::default());
-    seen(&mut table, &mesh, &["v1", "v1"], 1_000);
+    announce(&mut table, &mesh, &["v1", "v1"], 1_000);
     let both = ["v1", "v1", "v2"];
-    seen(&mut table, &mesh, &both, 2_000);
+    announce(&mut table, &mesh, &both, 2_000);
     let any = Some(plan::VersionGroup::Any);
-    assert_eq!(sides(&table, &both, 2_000), [any, any, None]);
-    assert!(!table.is_idle(at(11_000)), "it is looked at again");
-    assert_eq!(sides(&table, &both, 12_000), [any, any, any]);
+    assert_eq!(groups(&table, &both, 2_000), [any, any, None]);
+    assert!(!table.is_idle(at(11_000)), "the groups still change");
+    assert_eq!(groups(&table, &both, 12_000), [any, any, any]);
     assert!(table.is_idle(at(13_100)));
 }
 
 #[test]
-fn a_version_without_an_order_serves_where_no_other_is_left() {
+fn a_version_without_an_order_serves_if_there_is_no_other() {
     let (mut table, mesh) = (rollout::Table::default(), mesh::Mesh::default());
-    seen(&mut table, &mesh, &["v1"], 1_000);
-    seen(&mut table, &mesh, &["v2", "v2"], 2_000);
-    assert_eq!(sides(&table, &["v2", "v2"], 2_000), [Some(plan::VersionGroup::Any); 2]);
+    announce(&mut table, &mesh, &["v1"], 1_000);
+    announce(&mut table, &mesh, &["v2", "v2"], 2_000);
+    assert_eq!(groups(&table, &["v2", "v2"], 2_000), [Some(plan::VersionGroup::Any); 2]);
 }
 
 #[test]
-fn an_unproven_version_is_tried_at_few_upstreams() {
+fn an_unproven_version_gets_calls_at_few_upstreams() {
     let (mut table, mut mesh) = (rollout::Table::default(), mesh::Mesh::default());
     let order = rollout::Order { number: 3, version: "v2".into(), within: WITHIN };
     mesh.rollouts.push(mesh::Rollout { service: "shop".into(), order });
     let versions = ["v1", "v2", "v2", "v2", "v2", "v2"];
-    seen(&mut table, &mesh, &versions, 1_000);
+    announce(&mut table, &mesh, &versions, 1_000);
     let (old, new) = (Some(plan::VersionGroup::Old), Some(plan::VersionGroup::New));
-    assert_eq!(sides(&table, &versions, 1_000), [old, new, new, new, None, None]);
+    assert_eq!(groups(&table, &versions, 1_000), [old, new, new, new, None, None]);
     let tried =
         (0..1_000).filter(|_| table.next_group("shop", at(1_000)) == plan::VersionGroup::New);
     assert_eq!(tried.count(), 50);
@@ -424,17 +439,17 @@
     assert_eq!(
         table.fallback("shop", plan::VersionGroup::Old),
         None,
-        "not even where nothing else is left"
+        "not even if there is no other upstream"
     );
 }
 
 #[test]
-fn the_end_that_the_mesh_says_goes_before_the_own_one() {
+fn the_published_final_stage_replaces_the_own_one() {
     let mut plan = rollout::Plan::new(WITHIN, at(0));
     let (new, old) = (rollout::AnswerCounts::default(), rollout::AnswerCounts::default());
     let known = plan::Observations { new, old, rejected: false, ready: 0, serving: 40 };
     plan.update(&known, at(11_000));
-    assert_eq!(plan.stage(), rollout::Stage::RolledBack, "a node that learned late");
+    assert_eq!(plan.stage(), rollout::Stage::RolledBack, "this node learned of the order late");
     plan.settle(rollout::Stage::Completed);
     plan.update(&known, at(11_100));
     assert_eq!(plan.stage(), rollout::Stage::Completed);
@@ -442,18 +457,18 @@
 }
 
 #[test]
-fn a_new_upstream_that_takes_no_calls_is_not_one_of_those_tried() {
+fn a_new_upstream_that_takes_no_calls_does_not_count_towards_the_trial() {
     let (mut table, mut mesh) = (rollout::Table::default(), mesh::Mesh::default());
     let order = rollout::Order { number: 3, version: "v2".into(), within: WITHIN };
     mesh.rollouts.push(mesh::Rollout { service: "shop".into(), order });
     let versions = ["v2", "v2", "v2", "v2", "v2"];
-    seen(&mut table, &mesh, &versions, 1_000);
-    let mut sides = table.classifier("shop", at(1_000));
-    let tried = (0..5).filter(|&n| sides.group_of("v2", n != 0).is_some());
+    announce(&mut table, &mesh, &versions, 1_000);
+    let mut classifier = table.classifier("shop", at(1_000));
+    let tried = (0..5).filter(|&n| classifier.group_of("v2", n != 0).is_some());
     assert_eq!(tried.collect::<Vec<_>>(), [0, 1, 2, 3]);
 }
 
-/// A configuration with one order, read as the record of `number`.
+/// A configuration with one order, read from the record `number`.
 fn ordered(number: u64, version: &str) -> mesh::Mesh {
     let mut mesh = mesh::Mesh::default();
     let order = rollout::Order { number, version: version.into(), within: WITHIN };
@@ -461,36 +476,37 @@
     mesh
 }
 
-/// Guards against a version that is tried anew after it was rolled back, since its order has another number.
+/// Guards against a second trial of a version that was rolled back: after the log was restored from
+/// an older copy, its order has another number.
 #[test]
-fn an_order_that_is_read_again_from_an_older_copy_of_the_log_goes_on() {
+fn an_order_that_is_read_again_from_a_restored_log_keeps_its_stage() {
     let mut table = rollout::Table::default();
     let versions = ["v1", "v2"];
-    seen(&mut table, &ordered(logs::ordinal(0, 8), "v2"), &versions, 1_000);
+    announce(&mut table, &ordered(logs::ordinal(0, 8), "v2"), &versions, 1_000);
     table.settle("shop", logs::ordinal(0, 8), rollout::Stage::RolledBack);
     for (epoch, offset) in [(1, 5), (2, 8), (5, 0)] {
         let number = logs::ordinal(epoch, offset);
-        seen(&mut table, &ordered(number, "v2"), &versions, 2_000);
-        let beliefs = table.progress();
-        assert_eq!((beliefs[0].order.number, beliefs[0].stage), (number, plan::Stage::RolledBack));
+        announce(&mut table, &ordered(number, "v2"), &versions, 2_000);
+        let progress = table.progress();
+        assert_eq!(
+            (progress[0].order.number, progress[0].stage),
+            (number, plan::Stage::RolledBack)
+        );
         assert!((0..1_000).all(|_| table.next_group("shop", at(2_000)) == plan::VersionGroup::Old));
     }
-    seen(&mut table, &ordered(logs::ordinal(5, 9), "v2"), &versions, 3_000);
-    assert_eq!(table.progress()[0].stage, plan::Stage::Trial, "ordered once more");
-    seen(&mut table, &ordered(logs::ordinal(6, 2), "v3"), &versions, 4_000);
-    assert_eq!(
-        table.progress()[0].order.version,
-        "v3",
-        "another order of a later epoch is a new one"
-    );
+    announce(&mut table, &ordered(logs::ordinal(5, 9), "v2"), &versions, 3_000);
+    assert_eq!(table.progress()[0].stage, plan::Stage::Trial, "the version was ordered again");
+    announce(&mut table, &ordered(logs::ordinal(6, 2), "v3"), &versions, 4_000);
+    assert_eq!(table.progress()[0].order.version, "v3", "an order with another goal is a new one");
 }
 
-/// Guards against an end that nobody is told of, since its status went with what the log has lost.
+/// Guards against a final state that is not published, because the log lost the record of its
+/// status.
 #[test]
-fn what_was_said_of_an_order_is_said_again_once_the_order_is_read_again() {
+fn a_status_is_published_again_once_its_order_is_read_again() {
     let mut table = rollout::Table::default();
     let number = logs::ordinal(0, 8);
-    seen(&mut table, &ordered(number, "v2"), &["v1", "v2"], 1_000);
+    announce(&mut table, &ordered(number, "v2"), &["v1", "v2"], 1_000);
     table.settle("shop", number, rollout::Stage::Completed);
     let status = status::Status {
         service: "shop".into(),
@@ -498,9 +514,9 @@
         order: number,
         state: status::State::Serving,
     };
-    let said = status::StatusList { list: vec![status], position: 3 };
+    let published = status::StatusList { list: vec![status], position: 3 };
     let again = logs::ordinal(1, 5);
-    seen(&mut table, &ordered(again, "v2"), &["v1", "v2"], 2_000);
-    let next = status::next(&table.progress()[0], &said).expect("it is said");
+    announce(&mut table, &ordered(again, "v2"), &["v1", "v2"], 2_000);
+    let next = status::unpublished(&table.progress()[0], &published).expect("a status to publish");
     assert_eq!((next.order, next.state), (again, status::State::Completed));
 }
