--- a/src/admit/gate.rs
+++ b/src/admit/gate.rs
@@ -1,58 +1,59 @@
-//! The gate in front of one upstream.
+//! The gate that admits calls to one upstream.
 
 use std::time;
 
 use crate::admit;
-use crate::admit::foresight;
+use crate::admit::concurrency;
 use crate::admit::queue;
-use crate::admit::service;
-use crate::admit::width;
+use crate::admit::service_times;
+use crate::admit::wait_ratio;
 use crate::clock;
 use crate::retry;
 
-/// Shortest wait named in a refusal.
-const LEAST_WAIT: time::Duration = time::Duration::from_millis(1);
+/// Shortest wait that a refusal asks for.
+const MIN_WAIT: time::Duration = time::Duration::from_millis(1);
 
-/// A call that runs.
+/// A running call.
 #[derive(Clone, Copy, Debug)]
-struct Run {
+struct Running {
     ticket: admit::Ticket,
     kind: admit::Kind,
-    /// Calls that ran already when it began.
+    /// Other calls that ran when it started.
     others: usize,
     since: clock::Instant,
 }
 
-/// The only place where calls to one upstream are admitted.
+/// The gate of one upstream: no call reaches the upstream by another way.
 ///
-/// Invariants: at most as many calls run as there are slots or connections, but for those that
-/// ran before the limits were lowered; nobody waits while a slot is free; nothing is admitted after a drain.
+/// Invariants: at most as many calls run as there are slots or connections, except for calls that
+/// ran before the limits were lowered; no call waits while a slot is free; no call is admitted
+/// after a drain.
 #[derive(Debug)]
 pub struct Gate {
     limits: admit::Limits,
-    width: width::Width,
+    concurrency: concurrency::Limit,
     draining: bool,
-    running: Vec<Run>,
+    running: Vec<Running>,
     queue: queue::Queue,
-    service: service::Service,
-    foresight: foresight::Foresight,
+    times: service_times::ServiceTimes,
+    ratio: wait_ratio::WaitRatio,
 }
 
 impl Gate {
-    /// An empty gate.
+    /// A gate without calls.
     pub fn new(limits: admit::Limits) -> Self {
         Self {
             limits,
-            width: width::Width::new(&limits),
+            concurrency: concurrency::Limit::new(&limits),
             draining: false,
             running: Vec::with_capacity(limits.concurrency()),
             queue: queue::Queue::default(),
-            service: service::Service::default(),
-            foresight: foresight::Foresight::default(),
+            times: service_times::ServiceTimes::default(),
+            ratio: wait_ratio::WaitRatio::default(),
         }
     }
 
-    /// Takes in `event` and appends what is to be done to `actions`.
+    /// Handles `event` and appends the actions that it causes to `actions`.
     pub fn handle(
         &mut self,
         event: admit::Event,
@@ -61,127 +62,130 @@
     ) {
         match event {
             admit::Event::Arrive(call) => self.arrive(call, now, actions),
-            admit::Event::Ended { ticket } => self.end(ticket, now),
+            admit::Event::Ended { ticket } => self.record_end(ticket, now),
             admit::Event::Cancelled { ticket } => self.cancel(ticket),
             admit::Event::Shed { ticket } => self.shed(ticket),
-            admit::Event::Limits(limits) => self.limit(limits),
+            admit::Event::Limits(limits) => self.set_limits(limits),
             admit::Event::Drain => self.drain(now, actions),
             admit::Event::Resume => self.draining = false,
             admit::Event::Restart => self.restart(),
             admit::Event::Tick => {}
         }
-        self.settle(now, actions);
+        self.process_queue(now, actions);
     }
 
-    /// The load that travels back with answers.
+    /// The load that is sent back with answers.
     pub fn load(&self) -> admit::Load {
         admit::Load {
             running: count(self.running.len()),
             waiting: count(self.queue.len()),
-            slots: count(self.width.get()),
-            service_us: self.service.micros(),
+            slots: count(self.concurrency.get()),
+            service_us: self.times.micros(),
         }
     }
 
-    /// When the gate wants a [`admit::Event::Tick`] at the latest; `None` while nobody waits.
+    /// When the gate needs a [`admit::Event::Tick`] at the latest; `None` while no call waits.
     ///
-    /// A waiter is refused while its caller still listens, so that "not run" is what it hears.
+    /// A waiter is refused before its deadline, so that its caller still receives the outcome "not
+    /// run".
     pub fn next_tick(&self) -> Option<clock::Instant> {
-        self.queue.iter().map(|w| self.latest(w)).min()
+        self.queue.iter().map(|w| self.latest_start(w)).min()
     }
 
-    /// When `waiter` has to start at the latest.
-    fn latest(&self, waiter: &admit::Call) -> clock::Instant {
-        let least = u64::try_from(self.service.least(waiter.kind).as_micros()).unwrap_or(u64::MAX);
-        clock::Instant::from_micros(waiter.deadline.as_micros().saturating_sub(least))
+    /// The time by which `waiter` has to start, or else is refused.
+    fn latest_start(&self, waiter: &admit::Call) -> clock::Instant {
+        let min =
+            u64::try_from(self.times.min_remaining(waiter.kind).as_micros()).unwrap_or(u64::MAX);
+        clock::Instant::from_micros(waiter.deadline.as_micros().saturating_sub(min))
     }
 
-    /// Whether the gate drains and nothing runs any more.
+    /// Whether the gate drains and no call runs.
     pub fn is_drained(&self) -> bool {
         self.draining && self.running.is_empty()
     }
 
     fn arrive(&mut self, call: admit::Call, now: clock::Instant, actions: &mut Vec<admit::Action>) {
-        match self.doubt(&call, now) {
+        match self.rejection(&call, now) {
             Some(reason) => self.refuse(call, reason, now, actions),
             None if self.has_slot() => self.run(call, now, actions),
-            None => self.line_up(call, now),
+            None => self.enqueue(call, now),
         }
     }
 
-    fn line_up(&mut self, call: admit::Call, now: clock::Instant) {
-        let place = self.place(&call, now);
-        let expected = self.wait(place, now);
-        self.queue.insert(place, queue::Waiter { call, since: now, expected });
+    fn enqueue(&mut self, call: admit::Call, now: clock::Instant) {
+        let position = self.position(&call, now);
+        let expected = self.expected_wait(position, now);
+        self.queue.insert(position, queue::Waiter { call, since: now, expected });
     }
 
-    /// What becomes of `call` if it comes now; `None` when it would wait.
+    /// The action for `call` if it came now; `None` if it would wait.
     pub fn preview(&self, call: &admit::Call, now: clock::Instant) -> Option<admit::Action> {
-        match self.doubt(call, now) {
+        match self.rejection(call, now) {
             Some(reason) => Some(self.refusal(call.ticket, reason, now)),
             None => self.has_slot().then_some(admit::Action::Run { ticket: call.ticket }),
         }
     }
 
-    /// Where `call` would stand in the queue.
-    fn place(&self, call: &admit::Call, now: clock::Instant) -> usize {
-        self.queue.place(call, |call| self.start(call, now))
+    /// The position of `call` in the queue if it came now.
+    fn position(&self, call: &admit::Call, now: clock::Instant) -> usize {
+        self.queue.position(call, |call| self.start_by(call, now))
     }
 
-    /// Until when `call` has to start for its answer to have its full worth, or to have any where the
-    /// full one is lost: a caller that came back late does not overtake those who are in time.
-    fn start(&self, call: &admit::Call, now: clock::Instant) -> clock::Instant {
-        let usual = self.service.usual(call.kind);
+    /// The time by which `call` has to start to be answered before its target, or before its
+    /// deadline if the target can no longer be met: a caller that retries late does not overtake
+    /// calls that are in time.
+    fn start_by(&self, call: &admit::Call, now: clock::Instant) -> clock::Instant {
+        let mean = self.times.mean(call.kind);
         let end = if self.is_overdue(call, now) { call.deadline } else { call.target };
-        let usual = u64::try_from(usual.as_micros()).unwrap_or(u64::MAX);
-        clock::Instant::from_micros(end.as_micros().saturating_sub(usual))
+        let mean = u64::try_from(mean.as_micros()).unwrap_or(u64::MAX);
+        clock::Instant::from_micros(end.as_micros().saturating_sub(mean))
     }
 
-    /// Why `call` can't be let in, if it can't.
-    fn doubt(&self, call: &admit::Call, now: clock::Instant) -> Option<retry::Reason> {
-        let place = self.place(call, now);
+    /// Why `call` is rejected; `None` if it is admitted.
+    fn rejection(&self, call: &admit::Call, now: clock::Instant) -> Option<retry::Reason> {
+        let position = self.position(call, now);
         if self.draining {
             Some(retry::Reason::Draining)
-        } else if self.width.get() == 0 {
+        } else if self.concurrency.get() == 0 {
             Some(retry::Reason::NoUpstream)
         } else if call.deadline <= now {
             Some(retry::Reason::TooLate)
         } else if self.has_slot() {
             None
-        } else if self.is_hopeless(place, call, now) {
+        } else if self.is_hopeless(position, call, now) {
             Some(retry::Reason::TooLate)
-        } else if !call.inner && self.queue.len() > 0 && self.is_late(place, call, now) {
+        } else if !call.inner && self.queue.len() > 0 && self.is_late(position, call, now) {
             Some(retry::Reason::Full)
         } else {
             None
         }
     }
 
-    /// Whether a call that comes in at `place` might well be answered after its target.
+    /// Whether a call that is queued at `position` may well be answered after its target.
     ///
-    /// While somebody waits already, no slot stays free for want of it: in place of one call in time
-    /// and one late there would be two late ones. At 1.4 times the load that one upstream carries,
-    /// 91% of the calls served are in time in place of 8%, and as many are served (virtual time, the test
-    /// `a_crowd_is_served_in_time`).
-    fn is_late(&self, place: usize, waiter: &admit::Call, now: clock::Instant) -> bool {
-        let wait = self.foresight.wait(self.wait(place, now));
-        now + wait + self.service.mostly(waiter.kind) >= waiter.target
-    }
-
-    /// Refuses waiters there is no room or no time for and gives free slots to the others.
-    fn settle(&mut self, now: clock::Instant, actions: &mut Vec<admit::Action>) {
-        while self.width.get() == 0 {
-            let Some(waiter) = self.queue.first() else { break };
+    /// While other calls wait, no slot stays free if this one is refused. If it were admitted,
+    /// there would be two late calls instead of one in time and one late. At 1.4 times the load
+    /// that one upstream can carry, 91% of the served calls are in time instead of 8%, and as many
+    /// are served; see the test `calls_are_served_in_time_under_overload`.
+    fn is_late(&self, position: usize, waiter: &admit::Call, now: clock::Instant) -> bool {
+        let wait = self.ratio.correct(self.expected_wait(position, now));
+        now + wait + self.times.high_estimate(waiter.kind) >= waiter.target
+    }
+
+    /// Refuses waiters for which there is no room or no time, and gives free slots to the others.
+    fn process_queue(&mut self, now: clock::Instant, actions: &mut Vec<admit::Action>) {
+        while self.concurrency.get() == 0 {
+            let Some(waiter) = self.queue.pop_front() else { break };
             self.refuse(waiter.call, retry::Reason::NoUpstream, now, actions);
         }
         while self.queue.len() > usize::from(self.limits.queue) {
-            let Some(waiter) = self.queue.last() else { break };
+            let Some(waiter) = self.queue.pop_back() else { break };
             self.refuse(waiter, retry::Reason::Full, now, actions);
         }
         while self.has_slot() {
-            let Some(waiter) = self.queue.first() else { break };
+            let Some(waiter) = self.queue.pop_front() else { break };
             let queue::Waiter { call, since, expected } = waiter;
-            if self.service.misses(call.kind, call.deadline, time::Duration::ZERO, now) {
+            if self.times.misses(call.kind, call.deadline, time::Duration::ZERO, now) {
                 self.refuse(call, retry::Reason::TooLate, now, actions);
                 continue;
             }
@@ -190,75 +194,75 @@
                 continue;
             }
             if !call.inner {
-                self.foresight.record(expected, now.since(since));
+                self.ratio.record(expected, now.since(since));
             }
             self.run(call, now, actions);
         }
-        while let Some(waiter) = self.lost(now) {
+        while let Some(waiter) = self.remove_hopeless(now) {
             self.refuse(waiter, retry::Reason::TooLate, now, actions);
         }
     }
 
-    /// Whether an answer to `call` is more likely to miss its target than not, if it starts now.
+    /// Whether the answer to `call` is likely to miss its target even if the call starts now.
     ///
-    /// More urgent calls overtake a waiter after it was let in. While others wait, one that has become late
-    /// gives way: at 1.3 times the load of four slots 1442 of 1668 less urgent calls served are in time in
-    /// place of 1321 of 1692 (virtual time, the test
-    /// `less_urgent_calls_are_let_in_where_they_can_be_in_time`).
+    /// More urgent calls overtake a waiter after it was admitted. If it has become late by then and
+    /// others wait, it is refused: at 1.3 times the load of four slots 1442 of 1668 served calls
+    /// that are less urgent are in time, instead of 1321 of 1692; see the test
+    /// `less_urgent_calls_are_admitted_if_they_can_be_in_time`.
     fn is_overdue(&self, call: &admit::Call, now: clock::Instant) -> bool {
-        now + self.service.usual(call.kind) >= call.target
-    }
-
-    /// Takes out a waiter that can't make its deadline.
-    fn lost(&mut self, now: clock::Instant) -> Option<admit::Call> {
-        let (width, stuck) = (self.turns(), self.stuck(now));
-        let mut work = self.rest(stuck);
-        let service = &self.service;
-        self.queue.take(|waiter| {
-            let wait = work / width;
-            work += service.usual(waiter.kind).max(stuck);
-            service.misses(waiter.kind, waiter.deadline, wait, now)
+        now + self.times.mean(call.kind) >= call.target
+    }
+
+    /// Removes a waiter that can't meet its deadline.
+    fn remove_hopeless(&mut self, now: clock::Instant) -> Option<admit::Call> {
+        let (slots, stalled) = (self.shared_slots(), self.stalled(now));
+        let mut work = self.running_time(stalled);
+        let times = &self.times;
+        self.queue.remove_first(|waiter| {
+            let wait = work / slots;
+            work += times.mean(waiter.kind).max(stalled);
+            times.misses(waiter.kind, waiter.deadline, wait, now)
         })
     }
 
-    fn is_hopeless(&self, place: usize, waiter: &admit::Call, now: clock::Instant) -> bool {
-        self.service.misses(waiter.kind, waiter.deadline, self.wait(place, now), now)
+    /// Whether a call that is queued at `position` can't meet its deadline.
+    fn is_hopeless(&self, position: usize, waiter: &admit::Call, now: clock::Instant) -> bool {
+        self.times.misses(waiter.kind, waiter.deadline, self.expected_wait(position, now), now)
     }
 
-    /// Time until a slot is free for a call that comes in at `place`, counted from 0.
-    fn wait(&self, place: usize, now: clock::Instant) -> time::Duration {
-        let stuck = self.stuck(now);
-        let ahead = self.queue.iter().take(place);
-        let ahead: time::Duration = ahead.map(|w| self.service.usual(w.kind).max(stuck)).sum();
-        (self.rest(stuck) + ahead) / self.turns()
+    /// Time until a slot is free for a call that is queued at `position`, counted from 0.
+    fn expected_wait(&self, position: usize, now: clock::Instant) -> time::Duration {
+        let stalled = self.stalled(now);
+        let ahead = self.queue.iter().take(position);
+        let ahead: time::Duration = ahead.map(|w| self.times.mean(w.kind).max(stalled)).sum();
+        (self.running_time(stalled) + ahead) / self.shared_slots()
     }
 
-    /// Mean service time of the calls that run.
-    ///
-    /// `stuck` is a lower bound on it when calls hang and nothing is measured.
-    fn rest(&self, stuck: time::Duration) -> time::Duration {
-        let work: time::Duration = self.running.iter().map(|r| self.service.usual(r.kind)).sum();
+    /// Mean service time of the running calls, at least `stalled`: while calls hang, their service
+    /// time is not measured.
+    fn running_time(&self, stalled: time::Duration) -> time::Duration {
+        let work: time::Duration = self.running.iter().map(|r| self.times.mean(r.kind)).sum();
         let calls = u32::try_from(self.running.len().max(1)).unwrap_or(u32::MAX);
-        (work / calls).max(stuck)
+        (work / calls).max(stalled)
     }
 
-    /// Slots that the waiters share, at least one.
-    fn turns(&self) -> u32 {
-        u32::try_from(self.width.get().max(1)).unwrap_or(u32::MAX)
+    /// Slots for which the calls wait, at least one.
+    fn shared_slots(&self) -> u32 {
+        u32::try_from(self.concurrency.get().max(1)).unwrap_or(u32::MAX)
     }
 
-    /// How long no slot has changed hands.
-    fn stuck(&self, now: clock::Instant) -> time::Duration {
+    /// Time since a call last started; zero if none runs.
+    fn stalled(&self, now: clock::Instant) -> time::Duration {
         self.running.iter().map(|r| now.since(r.since)).min().unwrap_or_default()
     }
 
     fn has_slot(&self) -> bool {
-        !self.draining && self.running.len() < self.width.get()
+        !self.draining && self.running.len() < self.concurrency.get()
     }
 
     fn run(&mut self, waiter: admit::Call, now: clock::Instant, actions: &mut Vec<admit::Action>) {
         let (ticket, kind, others) = (waiter.ticket, waiter.kind, self.running.len());
-        self.running.push(Run { ticket, kind, others, since: now });
+        self.running.push(Running { ticket, kind, others, since: now });
         actions.push(admit::Action::Run { ticket: waiter.ticket });
     }
 
@@ -281,49 +285,49 @@
         admit::Action::Refuse { ticket, reason, retry_after: self.retry_after(ticket, now) }
     }
 
-    /// How long `ticket` should stay away: until those who wait have had their turn, and a part
-    /// longer that differs from call to call.
+    /// Time after which the caller of `ticket` may retry: at least until the waiting calls have started,
+    /// and up to twice as long, depending on the ticket.
     pub fn retry_after(&self, ticket: admit::Ticket, now: clock::Instant) -> time::Duration {
-        spread(self.wait(self.queue.len(), now).max(LEAST_WAIT), ticket)
+        stagger(self.expected_wait(self.queue.len(), now).max(MIN_WAIT), ticket)
     }
 
-    fn end(&mut self, ticket: admit::Ticket, now: clock::Instant) {
-        if let Some(run) = self.leave(ticket) {
-            self.service.record(run.kind, now.since(run.since));
-            self.width.ended(run.others);
+    fn record_end(&mut self, ticket: admit::Ticket, now: clock::Instant) {
+        if let Some(run) = self.remove_running(ticket) {
+            self.times.record(run.kind, now.since(run.since));
+            self.concurrency.ended(run.others);
         }
     }
 
     fn shed(&mut self, ticket: admit::Ticket) {
-        if self.leave(ticket).is_some() {
-            self.width.shed(self.running.len());
+        if self.remove_running(ticket).is_some() {
+            self.concurrency.shed(self.running.len());
         }
     }
 
-    fn limit(&mut self, limits: admit::Limits) {
+    fn set_limits(&mut self, limits: admit::Limits) {
         self.limits = limits;
-        self.width.announce(&limits);
+        self.concurrency.announce(&limits);
     }
 
     fn restart(&mut self) {
-        self.width = width::Width::new(&self.limits);
-        self.service = service::Service::default();
+        self.concurrency = concurrency::Limit::new(&self.limits);
+        self.times = service_times::ServiceTimes::default();
     }
 
     fn cancel(&mut self, ticket: admit::Ticket) {
-        if self.leave(ticket).is_none() {
+        if self.remove_running(ticket).is_none() {
             self.queue.remove(ticket);
         }
     }
 
-    fn leave(&mut self, ticket: admit::Ticket) -> Option<Run> {
+    fn remove_running(&mut self, ticket: admit::Ticket) -> Option<Running> {
         let index = self.running.iter().position(|r| r.ticket == ticket)?;
         Some(self.running.swap_remove(index))
     }
 
     fn drain(&mut self, now: clock::Instant, actions: &mut Vec<admit::Action>) {
         self.draining = true;
-        while let Some(waiter) = self.queue.first() {
+        while let Some(waiter) = self.queue.pop_front() {
             self.refuse(waiter.call, retry::Reason::Draining, now, actions);
         }
     }
@@ -333,12 +337,12 @@
     u16::try_from(len).unwrap_or(u16::MAX)
 }
 
-/// A time between one and two times `wait`, by the call's ticket: calls that are refused together
-/// must not come back together, and none before the backlog that kept it out is gone.
-fn spread(wait: time::Duration, ticket: admit::Ticket) -> time::Duration {
-    /// Steps of the spread.
+/// A time between one and two times `wait`, depending on the ticket. Calls that are refused
+/// together must not be retried together, and none before the calls that wait now have started.
+fn stagger(wait: time::Duration, ticket: admit::Ticket) -> time::Duration {
+    /// Number of different times.
     const STEPS: u64 = 16;
-    /// Distance of two neighbours, prime to the number of steps.
+    /// Distance between successive tickets, coprime to the number of steps.
     const STRIDE: u64 = 7;
     let step = u32::try_from(ticket.0.wrapping_mul(STRIDE) % STEPS).unwrap_or_default();
     wait + wait * step / u32::try_from(STEPS).unwrap_or(1)
--- a/src/admit/load.rs
+++ b/src/admit/load.rs
@@ -1,9 +1,9 @@
-//! An upstream's load as its node counts it, sent back with every answer.
+//! The load of an upstream as its node counts it, sent back with every answer.
 
 use std::fmt;
 use std::str;
 
-/// Load of one upstream. Its text is `running/waiting/slots/service`.
+/// Load of one upstream. Its text form is `running/waiting/slots/service`.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Load {
     /// Calls that run.
@@ -12,24 +12,23 @@
     pub waiting: u16,
     /// Calls that may run at once.
     pub slots: u16,
-    /// Mean time a call ran, without its wait, in microseconds; 0 before one has ended.
+    /// Mean run time of a call, without its wait, in microseconds; 0 before one has ended.
     pub service_us: u32,
 }
 
 impl Load {
-    /// The same with a further wait of `micros` before a call gets its slot, told as calls that
-    /// wait.
+    /// Adds a further wait of `micros` before a call gets its slot, expressed as waiting calls.
     pub fn and_wait(mut self, micros: f32) -> Self {
         if self.service_us > 0 {
             let calls = micros * f32::from(self.slots) / self.service_us as f32;
-            // A float that is out of range ends at the bound.
+            // The conversion saturates where the float is out of range.
             self.waiting = self.waiting.saturating_add(calls as u16);
         }
         self
     }
 }
 
-/// A text that is no load.
+/// The text is not a load.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("not a load: running/waiting/slots/service expected")]
 pub struct Malformed;
--- a/src/admit/mod.rs
+++ b/src/admit/mod.rs
@@ -1,17 +1,17 @@
 //! Admission at an upstream's own node: slots, connections and a short queue.
 //!
-//! A call that runs holds one slot and one connection. The shell takes an idle connection before
-//! it opens one, so that the connections open to the upstream never outnumber the calls that ran
-//! at once, and the one limit of the gate keeps both exactly.
+//! A running call holds one slot and one connection. The caller of the gate reuses an idle
+//! connection before it opens a new one, so that there are never more open connections than calls
+//! ran at once, and the one limit of the gate bounds both exactly.
 
-mod foresight;
+mod concurrency;
 mod gate;
 mod load;
 mod queue;
-mod service;
+mod service_times;
 #[cfg(test)]
 mod tests;
-mod width;
+mod wait_ratio;
 
 use std::time;
 
@@ -21,27 +21,28 @@
 pub use self::gate::Gate;
 pub use self::load::{Load, Malformed};
 
-/// Names a call at its gate; never used twice.
+/// Identifies a call at its gate; never used twice.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(pub u64);
 
-/// Names a kind of calls at its gate; kinds share what is measured of them.
+/// Identifies a kind of calls at its gate; calls of one kind share their measured service time.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Kind(pub u16);
 
 /// A call at its gate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Call {
-    /// Its name.
+    /// Identifies the call.
     pub ticket: Ticket,
-    /// Its kind.
+    /// Kind of the call.
     pub kind: Kind,
-    /// Weight of its kind; a heavier call goes first.
+    /// Weight of its kind; heavier calls run first.
     pub weight: u32,
-    /// Whether a call that runs already waits for it: work that has begun goes before new work,
-    /// whatever the weight, and is not refused for a target of its own.
+    /// Whether a running call waits for this one. Such a call runs before new work, whatever its
+    /// weight, and is not refused because of its own target.
     pub inner: bool,
-    /// Until when an answer has its full worth; the deadline where that makes no difference.
+    /// Time by which the answer should come to be on time; equal to the deadline if that makes no
+    /// difference.
     pub target: clock::Instant,
     /// When its caller gives up.
     pub deadline: clock::Instant,
@@ -50,79 +51,79 @@
 /// Limits of a gate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Calls that run at once; 0 while there is no upstream.
+    /// Calls that may run at once; 0 while there is no upstream.
     pub slots: u16,
-    /// Connections open at once.
+    /// Connections that may be open at once.
     pub connections: u16,
-    /// Calls that wait.
+    /// Calls that may wait.
     pub queue: u16,
 }
 
 impl Call {
-    /// Its place among calls of different importance; the greatest goes first.
+    /// Priority of the call; the highest rank runs first.
     pub(crate) const fn rank(&self) -> (bool, u32) {
         (self.inner, self.weight)
     }
 }
 
 impl Limits {
-    /// Calls that may run at once.
+    /// Calls that may run at once, by slots and connections.
     pub const fn concurrency(&self) -> usize {
-        let width = if self.slots < self.connections { self.slots } else { self.connections };
-        width as usize
+        let min = if self.slots < self.connections { self.slots } else { self.connections };
+        min as usize
     }
 }
 
-/// What a gate is told.
+/// An event at a gate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Event {
     /// A call came in.
     Arrive(Call),
-    /// A call that ran has ended by itself and its slot is free.
+    /// A running call has ended by itself, and its slot is free.
     Ended {
-        /// Its name.
+        /// The call.
         ticket: Ticket,
     },
-    /// The upstream refused a call by its documented answer although a slot was counted free: it
-    /// has fewer slots than it announced, for now at least.
+    /// The upstream refused a call with its documented answer although the gate counted a free
+    /// slot: at present it has fewer slots than it announced.
     Shed {
-        /// Its name.
+        /// The call.
         ticket: Ticket,
     },
-    /// The caller left or its deadline passed: the call waits no more, and if it ran, it was cut
-    /// off and its slot is free.
+    /// The caller left or its deadline passed: the call no longer waits, or, if it ran, it was
+    /// cancelled and its slot is free.
     Cancelled {
-        /// Its name.
+        /// The call.
         ticket: Ticket,
     },
-    /// The limits changed; calls that run already are left alone.
+    /// The limits changed; running calls continue.
     Limits(Limits),
-    /// Nothing new is admitted any more.
+    /// The upstream drains: no more calls are admitted.
     Drain,
-    /// Another upstream takes the place of the one that was leaving.
+    /// Another upstream has replaced the one that was draining.
     Resume,
-    /// The upstream has started anew: what was learned of it says nothing of its next life.
+    /// The upstream has restarted: the measurements of the previous process no longer apply.
     Restart,
     /// Time passed; see [`Gate::next_tick`].
     Tick,
 }
 
-/// What a gate wants done. Each call that came in gets exactly one of these, unless it is
-/// cancelled first.
+/// An action that a gate requests. Each call that came in gets exactly one, unless it is cancelled
+/// first.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
     /// Run the call now.
     Run {
-        /// Its name.
+        /// The call.
         ticket: Ticket,
     },
-    /// Tell the caller at once that the call did not run. Final.
+    /// Report to the caller at once that the call did not run. This is final.
     Refuse {
-        /// Its name.
+        /// The call.
         ticket: Ticket,
-        /// Why.
+        /// Why it is refused.
         reason: retry::Reason,
-        /// When a place may be free.
+        /// Time after which a slot may be free.
         retry_after: time::Duration,
     },
 }
--- a/src/admit/queue.rs
+++ b/src/admit/queue.rs
@@ -1,5 +1,6 @@
-//! The calls that wait for a slot: first those that running calls wait for, then the heaviest; among
-//! those, each kind oldest first, and of two kinds the call that has to start sooner.
+//! The calls that wait for a slot. Calls that running calls wait for come first, then the heaviest
+//! ones. Among calls of the same rank those of one kind are in order of arrival, and of two kinds
+//! the call that has to start sooner comes first.
 
 use std::collections;
 use std::time;
@@ -11,15 +12,15 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Waiter {
     pub(super) call: admit::Call,
-    /// When it came.
+    /// When it was queued.
     pub(super) since: clock::Instant,
-    /// The wait that was expected when it came.
+    /// The wait that was expected when it was queued.
     pub(super) expected: time::Duration,
 }
 
-/// Calls in the order they will run.
+/// Calls in the order in which they will run.
 ///
-/// Invariant: ranks never rise from front to back; calls of one kind and rank stand in order of
+/// Invariant: ranks never rise from front to back; calls of one kind and rank are in order of
 /// arrival.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
@@ -27,45 +28,46 @@
 }
 
 impl Queue {
-    /// Where `call` would stand, if it came in now; `start` tells until when a call has to start for
-    /// its answer to come before its target.
+    /// The position that `call` would get now. `start_by` returns the time by which a call has to
+    /// start for its answer to come before its target.
     ///
-    /// A short call with a close target goes before long ones that can wait, until these have to
-    /// start too: nobody is overtaken for ever.
-    pub(super) fn place(
+    /// A short call with a close target is placed before long calls that can wait, until these have
+    /// to start as well, so that no call is overtaken for ever.
+    pub(super) fn position(
         &self,
         call: &admit::Call,
-        start: impl Fn(&admit::Call) -> clock::Instant,
+        start_by: impl Fn(&admit::Call) -> clock::Instant,
     ) -> usize {
-        let sooner = start(call);
+        let own = start_by(call);
         let yields = |other: &&Waiter| {
             let other = &other.call;
             let peers = other.rank() == call.rank() && other.kind != call.kind;
-            other.rank() < call.rank() || (peers && sooner < start(other))
+            other.rank() < call.rank() || (peers && own < start_by(other))
         };
         self.waiters.len() - self.waiters.iter().rev().take_while(yields).count()
     }
 
-    /// Puts `waiter` at `place`.
-    pub(super) fn insert(&mut self, place: usize, waiter: Waiter) {
-        self.waiters.insert(place, waiter);
+    /// Inserts `waiter` at `position`.
+    pub(super) fn insert(&mut self, position: usize, waiter: Waiter) {
+        self.waiters.insert(position, waiter);
     }
 
     pub(super) fn len(&self) -> usize {
         self.waiters.len()
     }
 
-    pub(super) fn first(&mut self) -> Option<Waiter> {
+    /// Removes the waiter that would run next.
+    pub(super) fn pop_front(&mut self) -> Option<Waiter> {
         self.waiters.pop_front()
     }
 
-    /// Takes out the waiter that would run last.
-    pub(super) fn last(&mut self) -> Option<admit::Call> {
+    /// Removes the waiter that would run last.
+    pub(super) fn pop_back(&mut self) -> Option<admit::Call> {
         self.waiters.pop_back().map(|waiter| waiter.call)
     }
 
     pub(super) fn remove(&mut self, ticket: admit::Ticket) -> Option<admit::Call> {
-        self.take(|waiter| waiter.ticket == ticket)
+        self.remove_first(|waiter| waiter.ticket == ticket)
     }
 
     /// The waiters from front to back.
@@ -73,9 +75,12 @@
         self.waiters.iter().map(|waiter| &waiter.call)
     }
 
-    /// Takes out the first waiter, from the front, of which `lost` holds.
-    pub(super) fn take(&mut self, lost: impl FnMut(&admit::Call) -> bool) -> Option<admit::Call> {
-        let index = self.iter().position(lost)?;
+    /// Removes the first waiter, from the front, that `matches`.
+    pub(super) fn remove_first(
+        &mut self,
+        matches: impl FnMut(&admit::Call) -> bool,
+    ) -> Option<admit::Call> {
+        let index = self.iter().position(matches)?;
         self.waiters.remove(index).map(|waiter| waiter.call)
     }
 }
--- a/src/admit/service.rs
+++ b/src/admit/service_times.rs
@@ -8,11 +8,11 @@
 /// Weight of a new measurement: one in this many.
 const SMOOTHING: u32 = 8;
 
-/// A call is refused for its own run's sake only when its deadline leaves less than the mean
-/// service time of its kind divided by this: only the hopeless are to be turned away.
-const HOPELESS: u32 = 2;
+/// A call is refused as too late only if its deadline leaves less than the mean service time of its
+/// kind divided by this. It spares calls that may still run faster than the mean.
+const MIN_DIVISOR: u32 = 2;
 
-/// Smoothed mean of the times of calls and of their distance from it.
+/// Smoothed mean of run times and of their deviation from it.
 #[derive(Clone, Copy, Debug)]
 struct Mean {
     time: time::Duration,
@@ -21,18 +21,18 @@
 
 /// Mean service times.
 ///
-/// Kinds differ by an order of magnitude: judged by the mean of all, a call of 40 ms that has to be
-/// answered within 150 would be refused because the calls beside it take 200.
+/// Kinds differ by an order of magnitude. With one mean for all of them, a call that takes 40 ms
+/// and has to be answered within 150 ms would be refused because the calls beside it take 200 ms.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Service {
-    /// `None` until a call has ended.
+pub(super) struct ServiceTimes {
+    /// The mean of all kinds; `None` until a call has ended.
     all: Option<Mean>,
-    /// By kind, as far as calls of it have ended.
+    /// The mean of each kind; `None` until a call of the kind has ended.
     kinds: Vec<Option<Mean>>,
 }
 
-impl Service {
-    /// Notes that a call of `kind` ran for `took`.
+impl ServiceTimes {
+    /// Records that a call of `kind` ran for `took`.
     pub(super) fn record(&mut self, kind: admit::Kind, took: time::Duration) {
         let index = usize::from(kind.0);
         if index >= self.kinds.len() {
@@ -48,28 +48,29 @@
         u32::try_from(mean.as_micros()).unwrap_or(u32::MAX)
     }
 
-    /// Time that a call of `kind` takes as a rule: that of all kinds while its own is not known,
-    /// zero before any call has ended.
-    pub(super) fn usual(&self, kind: admit::Kind) -> time::Duration {
-        self.mean(kind).map(|mean| mean.time).unwrap_or_default()
+    /// Mean service time of `kind`: that of all kinds if no call of `kind` has ended, zero if no
+    /// call has.
+    pub(super) fn mean(&self, kind: admit::Kind) -> time::Duration {
+        self.find(kind).map(|mean| mean.time).unwrap_or_default()
     }
 
-    /// Time within which most calls of `kind` end: five of six, by their mean and deviation.
-    pub(super) fn mostly(&self, kind: admit::Kind) -> time::Duration {
-        self.mean(kind).map(|mean| mean.time + mean.deviation).unwrap_or_default()
+    /// Mean plus deviation: five of six calls of `kind` end within this time.
+    pub(super) fn high_estimate(&self, kind: admit::Kind) -> time::Duration {
+        self.find(kind).map(|mean| mean.time + mean.deviation).unwrap_or_default()
     }
 
-    fn mean(&self, kind: admit::Kind) -> Option<Mean> {
+    fn find(&self, kind: admit::Kind) -> Option<Mean> {
         let own = self.kinds.get(usize::from(kind.0)).copied().flatten();
         own.or(self.all)
     }
 
-    /// The shortest run of `kind` that is worth a slot.
-    pub(super) fn least(&self, kind: admit::Kind) -> time::Duration {
-        self.usual(kind) / HOPELESS
+    /// The time that has to be left before the deadline for a call of `kind` to get a slot.
+    pub(super) fn min_remaining(&self, kind: admit::Kind) -> time::Duration {
+        self.mean(kind) / MIN_DIVISOR
     }
 
-    /// Whether a call of `kind` that gets its slot after `wait` is sure to miss `deadline`.
+    /// Whether a call of `kind` that gets its slot after `wait` would have too little time left
+    /// before its `deadline`.
     pub(super) fn misses(
         &self,
         kind: admit::Kind,
@@ -77,7 +78,7 @@
         wait: time::Duration,
         now: clock::Instant,
     ) -> bool {
-        now + wait + self.least(kind) >= deadline
+        now + wait + self.min_remaining(kind) >= deadline
     }
 }
 
--- a/src/admit/tests.rs
+++ b/src/admit/tests.rs
@@ -16,26 +16,26 @@
 const BROWSE: u32 = 1;
 const ORDER: u32 = 10;
 
-/// Kind of the calls where it makes no difference.
+/// Kind of the calls in tests where the kind makes no difference.
 const PLAIN: admit::Kind = admit::Kind(0);
 
 fn at(millis: u64) -> clock::Instant {
     clock::Instant::from_millis(millis)
 }
 
-/// A gate with what became of each call.
-struct Bench {
+/// A gate and the actions of its last event.
+struct Harness {
     gate: admit::Gate,
     actions: Vec<admit::Action>,
 }
 
-impl Bench {
+impl Harness {
     fn new(slots: u16, queue: u16) -> Self {
         let limits = admit::Limits { slots, connections: 100, queue };
         Self { gate: admit::Gate::new(limits), actions: Vec::new() }
     }
 
-    fn tell(&mut self, event: admit::Event, millis: u64) -> Vec<admit::Action> {
+    fn handle(&mut self, event: admit::Event, millis: u64) -> Vec<admit::Action> {
         self.actions.clear();
         self.gate.handle(event, at(millis), &mut self.actions);
         self.actions.clone()
@@ -69,11 +69,11 @@
     ) -> Vec<admit::Action> {
         let (ticket, target, deadline) = (admit::Ticket(ticket), at(target), at(deadline));
         let call = admit::Call { ticket, kind, weight, inner: false, target, deadline };
-        self.tell(admit::Event::Arrive(call), now)
+        self.handle(admit::Event::Arrive(call), now)
     }
 
     fn end(&mut self, ticket: u64, now: u64) -> Vec<admit::Action> {
-        self.tell(admit::Event::Ended { ticket: admit::Ticket(ticket) }, now)
+        self.handle(admit::Event::Ended { ticket: admit::Ticket(ticket) }, now)
     }
 }
 
@@ -91,187 +91,190 @@
 
 #[test]
 fn the_heaviest_waiter_gets_the_free_slot() {
-    let mut bench = Bench::new(1, 4);
-    assert_eq!(bench.arrive(1, BROWSE, 1000, 0), [run(1)]);
-    assert_eq!(bench.arrive(2, BROWSE, 1000, 0), []);
-    assert_eq!(bench.arrive(3, ORDER, 1000, 0), []);
-    assert_eq!(bench.arrive(4, ORDER, 1000, 0), []);
-    assert_eq!(bench.end(1, 10), [run(3)]);
-    assert_eq!(bench.end(3, 20), [run(4)]);
-    assert_eq!(bench.end(4, 30), [run(2)]);
+    let mut harness = Harness::new(1, 4);
+    assert_eq!(harness.arrive(1, BROWSE, 1000, 0), [run(1)]);
+    assert_eq!(harness.arrive(2, BROWSE, 1000, 0), []);
+    assert_eq!(harness.arrive(3, ORDER, 1000, 0), []);
+    assert_eq!(harness.arrive(4, ORDER, 1000, 0), []);
+    assert_eq!(harness.end(1, 10), [run(3)]);
+    assert_eq!(harness.end(3, 20), [run(4)]);
+    assert_eq!(harness.end(4, 30), [run(2)]);
 }
 
 #[test]
-fn a_heavy_arrival_displaces_the_lightest_waiter_who_is_told_at_once() {
-    let mut bench = Bench::new(1, 2);
-    bench.arrive(1, BROWSE, 1000, 0);
-    bench.arrive(2, BROWSE, 1000, 0);
-    bench.arrive(3, BROWSE, 1000, 0);
-    assert_eq!(refused(&bench.arrive(4, BROWSE, 1000, 0)), [(4, retry::Reason::Full)]);
-    assert_eq!(refused(&bench.arrive(5, ORDER, 1000, 0)), [(3, retry::Reason::Full)]);
-    assert_eq!(bench.gate.load(), admit::Load { running: 1, waiting: 2, slots: 1, service_us: 0 });
+fn a_heavy_arrival_displaces_the_lightest_waiter_which_is_refused_at_once() {
+    let mut harness = Harness::new(1, 2);
+    harness.arrive(1, BROWSE, 1000, 0);
+    harness.arrive(2, BROWSE, 1000, 0);
+    harness.arrive(3, BROWSE, 1000, 0);
+    assert_eq!(refused(&harness.arrive(4, BROWSE, 1000, 0)), [(4, retry::Reason::Full)]);
+    assert_eq!(refused(&harness.arrive(5, ORDER, 1000, 0)), [(3, retry::Reason::Full)]);
+    assert_eq!(
+        harness.gate.load(),
+        admit::Load { running: 1, waiting: 2, slots: 1, service_us: 0 }
+    );
 }
 
 #[test]
-fn what_can_not_make_its_deadline_is_refused_at_once() {
-    let mut bench = Bench::new(1, 9);
-    bench.arrive(1, BROWSE, 1000, 0);
-    bench.end(1, 100);
-    assert_eq!(bench.arrive(2, BROWSE, 1000, 100), [run(2)]);
+fn a_call_that_can_not_meet_its_deadline_is_refused_at_once() {
+    let mut harness = Harness::new(1, 9);
+    harness.arrive(1, BROWSE, 1000, 0);
+    harness.end(1, 100);
+    assert_eq!(harness.arrive(2, BROWSE, 1000, 100), [run(2)]);
     let too_late = [(3, retry::Reason::TooLate)];
-    assert_eq!(refused(&bench.arrive(3, BROWSE, 249, 100)), too_late);
-    assert_eq!(bench.arrive(4, BROWSE, 251, 100), []);
+    assert_eq!(refused(&harness.arrive(3, BROWSE, 249, 100)), too_late);
+    assert_eq!(harness.arrive(4, BROWSE, 251, 100), []);
 }
 
 #[test]
-fn a_heavy_arrival_that_makes_a_lighter_one_too_late_has_it_refused_at_once() {
-    let mut bench = Bench::new(1, 9);
-    bench.arrive(1, BROWSE, 1000, 0);
-    bench.end(1, 100);
-    bench.arrive(2, BROWSE, 1000, 100);
-    assert_eq!(bench.arrive(3, BROWSE, 260, 100), []);
+fn a_lighter_waiter_that_a_heavy_arrival_makes_too_late_is_refused_at_once() {
+    let mut harness = Harness::new(1, 9);
+    harness.arrive(1, BROWSE, 1000, 0);
+    harness.end(1, 100);
+    harness.arrive(2, BROWSE, 1000, 100);
+    assert_eq!(harness.arrive(3, BROWSE, 260, 100), []);
     let too_late = [(3, retry::Reason::TooLate)];
-    assert_eq!(refused(&bench.arrive(4, ORDER, 1000, 100)), too_late);
+    assert_eq!(refused(&harness.arrive(4, ORDER, 1000, 100)), too_late);
 }
 
 #[test]
-fn hung_calls_count_as_service_time_although_none_has_ended() {
-    let mut bench = Bench::new(1, 9);
-    bench.arrive(1, BROWSE, 10_000, 0);
+fn calls_that_hang_count_as_service_time() {
+    let mut harness = Harness::new(1, 9);
+    harness.arrive(1, BROWSE, 10_000, 0);
     let too_late = [(2, retry::Reason::TooLate)];
-    assert_eq!(refused(&bench.arrive(2, BROWSE, 1400, 500)), []);
-    assert_eq!(refused(&bench.tell(admit::Event::Tick, 1000)), too_late);
+    assert_eq!(refused(&harness.arrive(2, BROWSE, 1400, 500)), []);
+    assert_eq!(refused(&harness.handle(admit::Event::Tick, 1000)), too_late);
 }
 
 #[test]
-fn a_gate_wakes_while_the_waiter_still_listens() {
-    let mut bench = Bench::new(1, 9);
-    bench.arrive(1, BROWSE, 10_000, 0);
-    bench.end(1, 100);
-    bench.arrive(2, BROWSE, 10_000, 100);
-    bench.arrive(3, BROWSE, 400, 100);
-    assert_eq!(bench.gate.next_tick(), Some(at(350)));
-    assert_eq!(refused(&bench.tell(admit::Event::Tick, 350)), [(3, retry::Reason::TooLate)]);
-    assert_eq!(bench.gate.next_tick(), None);
+fn the_next_tick_is_before_the_deadline_of_a_waiter() {
+    let mut harness = Harness::new(1, 9);
+    harness.arrive(1, BROWSE, 10_000, 0);
+    harness.end(1, 100);
+    harness.arrive(2, BROWSE, 10_000, 100);
+    harness.arrive(3, BROWSE, 400, 100);
+    assert_eq!(harness.gate.next_tick(), Some(at(350)));
+    assert_eq!(refused(&harness.handle(admit::Event::Tick, 350)), [(3, retry::Reason::TooLate)]);
+    assert_eq!(harness.gate.next_tick(), None);
 }
 
 #[rstest]
 #[case::running(1)]
 #[case::waiting(2)]
-fn a_caller_who_leaves_frees_its_place(#[case] leaves: u64) {
-    let mut bench = Bench::new(1, 1);
-    bench.arrive(1, BROWSE, 1000, 0);
-    bench.arrive(2, BROWSE, 1000, 0);
-    bench.tell(admit::Event::Cancelled { ticket: admit::Ticket(leaves) }, 1);
-    assert_eq!(refused(&bench.arrive(3, BROWSE, 1000, 2)), []);
+fn a_caller_that_leaves_frees_its_slot_or_position(#[case] leaves: u64) {
+    let mut harness = Harness::new(1, 1);
+    harness.arrive(1, BROWSE, 1000, 0);
+    harness.arrive(2, BROWSE, 1000, 0);
+    harness.handle(admit::Event::Cancelled { ticket: admit::Ticket(leaves) }, 1);
+    assert_eq!(refused(&harness.arrive(3, BROWSE, 1000, 2)), []);
 }
 
 #[test]
-fn a_drain_refuses_the_waiters_and_lets_the_running_end() {
-    let mut bench = Bench::new(1, 4);
-    bench.arrive(1, BROWSE, 1000, 0);
-    bench.arrive(2, ORDER, 1000, 0);
+fn a_drain_refuses_waiters_and_lets_running_calls_end() {
+    let mut harness = Harness::new(1, 4);
+    harness.arrive(1, BROWSE, 1000, 0);
+    harness.arrive(2, ORDER, 1000, 0);
     let draining = [(2, retry::Reason::Draining)];
-    assert_eq!(refused(&bench.tell(admit::Event::Drain, 1)), draining);
-    assert!(!bench.gate.is_drained());
-    assert_eq!(bench.end(1, 2), []);
-    assert!(bench.gate.is_drained());
+    assert_eq!(refused(&harness.handle(admit::Event::Drain, 1)), draining);
+    assert!(!harness.gate.is_drained());
+    assert_eq!(harness.end(1, 2), []);
+    assert!(harness.gate.is_drained());
 }
 
 #[test]
-fn waiters_are_refused_at_once_when_the_upstream_goes() {
-    let mut bench = Bench::new(1, 4);
-    bench.arrive(1, BROWSE, 1000, 0);
-    bench.arrive(2, ORDER, 1000, 0);
+fn waiters_are_refused_at_once_when_the_upstream_leaves() {
+    let mut harness = Harness::new(1, 4);
+    harness.arrive(1, BROWSE, 1000, 0);
+    harness.arrive(2, ORDER, 1000, 0);
     let limits = admit::Limits { slots: 0, connections: 0, queue: 4 };
-    let gone = [(2, retry::Reason::NoUpstream)];
-    assert_eq!(refused(&bench.tell(admit::Event::Limits(limits), 1)), gone);
+    let refusal = [(2, retry::Reason::NoUpstream)];
+    assert_eq!(refused(&harness.handle(admit::Event::Limits(limits), 1)), refusal);
 }
 
-/// Nine slots and no queue: a call comes each millisecond, half of them are shed whatever runs, and
-/// the others take 20 ms.
+/// Nine slots and no queue: a call comes each millisecond, half of the calls are shed whatever
+/// runs, and the others take 20 ms.
 #[test]
-fn an_upstream_that_sheds_at_random_keeps_its_width() {
-    let mut bench = Bench::new(9, 0);
+fn an_upstream_that_sheds_at_random_keeps_its_limit() {
+    let mut harness = Harness::new(9, 0);
     let mut running = collections::VecDeque::new();
     let mut served = 0;
     for now in 0..2000 {
         while let Some(ticket) = running.front().copied().filter(|ticket| ticket + 20 <= now) {
             running.pop_front();
-            bench.end(ticket, now);
+            harness.end(ticket, now);
             served += 1;
         }
-        if bench.arrive(now, BROWSE, 1_000_000, now) != [run(now)] {
+        if harness.arrive(now, BROWSE, 1_000_000, now) != [run(now)] {
             continue;
         }
         if now * 37 % 101 % 2 == 0 {
-            bench.tell(admit::Event::Shed { ticket: admit::Ticket(now) }, now);
+            harness.handle(admit::Event::Shed { ticket: admit::Ticket(now) }, now);
         } else {
             running.push_back(now);
         }
     }
-    let width = bench.gate.load().slots;
-    assert!(width >= 7, "{width} of 9 slots are used");
+    let slots = harness.gate.load().slots;
+    assert!(slots >= 7, "{slots} of 9 slots are used");
     assert!(served > 700, "{served} calls served");
 }
 
-/// An upstream that ran nine calls at once and then no more than three sheds what is too much; it is
-/// found out within some full turns.
+/// An upstream that ran nine calls at once runs no more than three and sheds the others; the gate
+/// learns the new limit within some rounds.
 #[test]
-fn an_upstream_that_loses_slots_is_found_out() {
-    let mut bench = Bench::new(9, 0);
+fn the_limit_follows_an_upstream_that_loses_slots() {
+    let mut harness = Harness::new(9, 0);
     let mut running = collections::VecDeque::new();
     let mut sheds = 0;
     for now in 0..2000 {
         while let Some(ticket) = running.front().copied().filter(|ticket| ticket + 20 <= now) {
             running.pop_front();
-            bench.end(ticket, now);
+            harness.end(ticket, now);
         }
-        if bench.arrive(now, BROWSE, 1_000_000, now) != [run(now)] {
+        if harness.arrive(now, BROWSE, 1_000_000, now) != [run(now)] {
             continue;
         }
         if now > 1000 && running.len() >= 3 {
             sheds += 1;
-            bench.tell(admit::Event::Shed { ticket: admit::Ticket(now) }, now);
+            harness.handle(admit::Event::Shed { ticket: admit::Ticket(now) }, now);
         } else {
             running.push_back(now);
         }
     }
-    assert_eq!(bench.gate.load().slots, 3);
+    assert_eq!(harness.gate.load().slots, 3);
     assert!(sheds < 120, "{sheds} calls were shed");
 }
 
 #[test]
-fn an_upstream_that_sheds_below_its_slots_gets_fewer_calls_and_more_again_later() {
-    let mut bench = Bench::new(4, 0);
+fn an_upstream_that_sheds_below_its_slots_gets_fewer_calls_for_a_while() {
+    let mut harness = Harness::new(4, 0);
     for ticket in 1..=4 {
-        assert_eq!(bench.arrive(ticket, BROWSE, 9000, 0), [run(ticket)]);
+        assert_eq!(harness.arrive(ticket, BROWSE, 9000, 0), [run(ticket)]);
     }
-    bench.tell(admit::Event::Shed { ticket: admit::Ticket(4) }, 1);
-    assert_eq!(bench.gate.load().slots, 3);
-    assert_eq!(refused(&bench.arrive(5, BROWSE, 9000, 2)), [(5, retry::Reason::Full)]);
+    harness.handle(admit::Event::Shed { ticket: admit::Ticket(4) }, 1);
+    assert_eq!(harness.gate.load().slots, 3);
+    assert_eq!(refused(&harness.arrive(5, BROWSE, 9000, 2)), [(5, retry::Reason::Full)]);
     let mut ticket = 10;
-    while bench.gate.load().slots < 4 {
-        assert!(ticket < 100, "the width never rises again");
-        bench.end(if ticket == 10 { 3 } else { ticket - 1 }, ticket);
-        assert_eq!(bench.arrive(ticket, BROWSE, 9000, ticket), [run(ticket)]);
+    while harness.gate.load().slots < 4 {
+        assert!(ticket < 100, "the limit never rises again");
+        harness.end(if ticket == 10 { 3 } else { ticket - 1 }, ticket);
+        assert_eq!(harness.arrive(ticket, BROWSE, 9000, ticket), [run(ticket)]);
         ticket += 1;
     }
-    assert!(ticket > 13, "the width rises at once");
+    assert!(ticket > 13, "the limit rises at once");
 }
 
 #[test]
-fn what_was_learned_of_an_upstream_ends_with_its_life() {
-    let mut bench = Bench::new(4, 9);
-    (1..=4).for_each(|ticket| drop(bench.arrive(ticket, BROWSE, 9000, 0)));
-    bench.tell(admit::Event::Shed { ticket: admit::Ticket(4) }, 1);
-    bench.end(3, 100);
-    assert_eq!((bench.gate.load().slots, bench.gate.load().service_us), (3, 100_000));
-    bench.tell(admit::Event::Restart, 101);
-    assert_eq!((bench.gate.load().slots, bench.gate.load().service_us), (4, 0));
+fn measurements_do_not_outlive_a_restart_of_the_upstream() {
+    let mut harness = Harness::new(4, 9);
+    (1..=4).for_each(|ticket| drop(harness.arrive(ticket, BROWSE, 9000, 0)));
+    harness.handle(admit::Event::Shed { ticket: admit::Ticket(4) }, 1);
+    harness.end(3, 100);
+    assert_eq!((harness.gate.load().slots, harness.gate.load().service_us), (3, 100_000));
+    harness.handle(admit::Event::Restart, 101);
+    assert_eq!((harness.gate.load().slots, harness.gate.load().service_us), (4, 0));
 }
 
-/// A call that a running one waits for.
+/// The arrival of a call that a running call waits for.
 fn inner(ticket: u64, target: u64, deadline: u64) -> admit::Event {
     let (ticket, target, deadline) = (admit::Ticket(ticket), at(target), at(deadline));
     let call = admit::Call { ticket, kind: PLAIN, weight: BROWSE, inner: true, target, deadline };
@@ -279,41 +282,41 @@
 }
 
 #[test]
-fn work_that_has_begun_goes_before_new_work() {
-    let mut bench = Bench::new(1, 2);
-    bench.arrive(1, BROWSE, 1000, 0);
-    bench.arrive(2, ORDER, 1000, 0);
-    bench.arrive(3, ORDER, 1000, 0);
-    assert_eq!(refused(&bench.tell(inner(4, 1000, 1000), 1)), [(3, retry::Reason::Full)]);
-    assert_eq!(bench.end(1, 10), [run(4)]);
-    assert_eq!(bench.end(4, 20), [run(2)]);
+fn calls_of_running_calls_run_before_new_work() {
+    let mut harness = Harness::new(1, 2);
+    harness.arrive(1, BROWSE, 1000, 0);
+    harness.arrive(2, ORDER, 1000, 0);
+    harness.arrive(3, ORDER, 1000, 0);
+    assert_eq!(refused(&harness.handle(inner(4, 1000, 1000), 1)), [(3, retry::Reason::Full)]);
+    assert_eq!(harness.end(1, 10), [run(4)]);
+    assert_eq!(harness.end(4, 20), [run(2)]);
 }
 
-/// The call itself would be late by its own target, its caller's run would be lost without it.
+/// The call would miss its own target, but without it the run of its caller would be lost.
 #[test]
-fn work_that_has_begun_is_refused_only_when_its_deadline_is_lost() {
-    let mut bench = Bench::new(1, 9);
-    bench.arrive(1, BROWSE, 10_000, 0);
-    bench.end(1, 100);
-    bench.arrive(2, BROWSE, 10_000, 100);
-    bench.arrive(3, BROWSE, 10_000, 100);
-    assert_eq!(refused(&bench.arrive_for(4, BROWSE, 150, 500, 100)), [(4, retry::Reason::Full)]);
-    assert_eq!(refused(&bench.tell(inner(5, 150, 500), 100)), []);
+fn calls_of_running_calls_are_refused_only_for_their_deadline() {
+    let mut harness = Harness::new(1, 9);
+    harness.arrive(1, BROWSE, 10_000, 0);
+    harness.end(1, 100);
+    harness.arrive(2, BROWSE, 10_000, 100);
+    harness.arrive(3, BROWSE, 10_000, 100);
+    assert_eq!(refused(&harness.arrive_for(4, BROWSE, 150, 500, 100)), [(4, retry::Reason::Full)]);
+    assert_eq!(refused(&harness.handle(inner(5, 150, 500), 100)), []);
     let too_late = [(6, retry::Reason::TooLate)];
-    assert_eq!(refused(&bench.tell(inner(6, 150, 200), 100)), too_late);
+    assert_eq!(refused(&harness.handle(inner(6, 150, 200), 100)), too_late);
 }
 
 #[test]
-fn connections_limit_what_runs_like_slots() {
+fn connections_limit_running_calls_as_slots_do() {
     let limits = admit::Limits { slots: 9, connections: 2, queue: 0 };
-    let mut bench = Bench { gate: admit::Gate::new(limits), actions: Vec::new() };
-    bench.arrive(1, BROWSE, 1000, 0);
-    bench.arrive(2, BROWSE, 1000, 0);
-    assert_eq!(refused(&bench.arrive(3, BROWSE, 1000, 0)), [(3, retry::Reason::Full)]);
+    let mut harness = Harness { gate: admit::Gate::new(limits), actions: Vec::new() };
+    harness.arrive(1, BROWSE, 1000, 0);
+    harness.arrive(2, BROWSE, 1000, 0);
+    assert_eq!(refused(&harness.arrive(3, BROWSE, 1000, 0)), [(3, retry::Reason::Full)]);
 }
 
 #[test]
-fn a_load_is_read_back_from_its_text() {
+fn a_load_is_parsed_from_its_text() {
     let load = admit::Load { running: 7, waiting: 3, slots: 9, service_us: 1500 };
     assert_eq!(load.to_string(), "7/3/9/1500");
     assert_eq!("7/3/9/1500".parse(), Ok(load));
@@ -322,30 +325,34 @@
 }
 
 #[test]
-fn who_is_shed_beside_free_slots_may_come_back_soon() {
-    let mut bench = Bench::new(9, 16);
-    bench.arrive(0, BROWSE, 10_000, 0);
-    bench.end(0, 90);
-    (1..9).for_each(|ticket| drop(bench.arrive(ticket, BROWSE, 10_000, 90)));
-    let pause = bench.gate.retry_after(admit::Ticket(9), at(90));
+fn a_call_that_is_shed_beside_free_slots_may_retry_soon() {
+    let mut harness = Harness::new(9, 16);
+    harness.arrive(0, BROWSE, 10_000, 0);
+    harness.end(0, 90);
+    (1..9).for_each(|ticket| drop(harness.arrive(ticket, BROWSE, 10_000, 90)));
+    let pause = harness.gate.retry_after(admit::Ticket(9), at(90));
     assert!(pause >= time::Duration::from_millis(10), "{pause:?}");
     assert!(pause <= time::Duration::from_millis(20), "{pause:?}");
 }
 
 #[test]
-fn a_wait_before_the_gate_is_told_as_calls_that_wait() {
+fn a_wait_before_the_gate_is_expressed_as_waiting_calls() {
     let load = admit::Load { running: 7, waiting: 3, slots: 9, service_us: 100_000 };
     assert_eq!(load.and_wait(0.0), load);
     assert_eq!(load.and_wait(200_000.0).waiting, 3 + 18);
     assert_eq!(load.and_wait(f32::MAX).waiting, u16::MAX);
     let fresh = admit::Load { service_us: 0, ..load };
-    assert_eq!(fresh.and_wait(200_000.0), fresh, "nothing to compare it with");
+    assert_eq!(
+        fresh.and_wait(200_000.0),
+        fresh,
+        "without a service time the wait can not be converted"
+    );
 }
 
-/// What happens next; numbers pick among the calls that are there.
+/// A step of the model; an index selects one of the calls.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Arrive { weight: u32, patience: u64 },
+    Arrive { weight: u32, timeout: u64 },
     End(prop::sample::Index),
     Shed(prop::sample::Index),
     Leave(prop::sample::Index),
@@ -355,9 +362,9 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        8 => (1_u32..4, 1_u64..400).prop_map(|(weight, patience)| Step::Arrive {
+        8 => (1_u32..4, 1_u64..400).prop_map(|(weight, timeout)| Step::Arrive {
             weight,
-            patience,
+            timeout,
         }),
         5 => any::<prop::sample::Index>().prop_map(Step::End),
         1 => any::<prop::sample::Index>().prop_map(Step::Leave),
@@ -367,11 +374,11 @@
     ]
 }
 
-/// Checks every action of a gate against a plain model of it.
+/// Checks every action of a gate against a simple model of it.
 struct Model {
-    bench: Bench,
+    harness: Harness,
     now: u64,
-    width: usize,
+    limit: usize,
     next: u64,
     running: Vec<u64>,
     /// Weight of each waiter; tickets rise with arrival.
@@ -382,9 +389,9 @@
 impl Model {
     fn new() -> Self {
         Self {
-            bench: Bench::new(2, 3),
+            harness: Harness::new(2, 3),
             now: 0,
-            width: 2,
+            limit: 2,
             next: 0,
             running: Vec::new(),
             waiting: collections::BTreeMap::new(),
@@ -394,35 +401,35 @@
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Arrive { weight, patience } => {
+            Step::Arrive { weight, timeout } => {
                 self.next += 1;
                 self.waiting.insert(self.next, weight);
-                let actions = self.bench.arrive(self.next, weight, self.now + patience, self.now);
+                let actions = self.harness.arrive(self.next, weight, self.now + timeout, self.now);
                 self.check(&actions);
             }
             Step::End(index) if !self.running.is_empty() => {
                 let ticket = self.running.swap_remove(index.index(self.running.len()));
-                let actions = self.bench.end(ticket, self.now);
+                let actions = self.harness.end(ticket, self.now);
                 self.check(&actions);
             }
             Step::Shed(index) if !self.running.is_empty() => {
                 let ticket = self.running.swap_remove(index.index(self.running.len()));
-                self.tell(admit::Event::Shed { ticket: admit::Ticket(ticket) });
+                self.handle(admit::Event::Shed { ticket: admit::Ticket(ticket) });
             }
             Step::Leave(index) if self.next > 0 => self.leave(index.index(self.next as usize)),
             Step::Limits { slots, queue } => {
-                self.width = usize::from(slots);
+                self.limit = usize::from(slots);
                 let limits = admit::Limits { slots, connections: 100, queue };
-                self.tell(admit::Event::Limits(limits));
+                self.handle(admit::Event::Limits(limits));
             }
             Step::Pass(millis) => {
                 self.now += millis;
-                self.tell(admit::Event::Tick);
+                self.handle(admit::Event::Tick);
             }
             Step::End(_) | Step::Leave(_) | Step::Shed(_) => {}
         }
-        let slots = usize::from(self.bench.gate.load().slots);
-        assert!(slots <= self.width);
+        let slots = usize::from(self.harness.gate.load().slots);
+        assert!(slots <= self.limit);
         assert!(self.drained || self.waiting.is_empty() || self.running.len() >= slots);
     }
 
@@ -430,11 +437,11 @@
         let ticket = ticket as u64 + 1;
         self.running.retain(|t| *t != ticket);
         self.waiting.remove(&ticket);
-        self.tell(admit::Event::Cancelled { ticket: admit::Ticket(ticket) });
+        self.handle(admit::Event::Cancelled { ticket: admit::Ticket(ticket) });
     }
 
-    fn tell(&mut self, event: admit::Event) {
-        let actions = self.bench.tell(event, self.now);
+    fn handle(&mut self, event: admit::Event) {
+        let actions = self.harness.handle(event, self.now);
         self.check(&actions);
     }
 
@@ -456,20 +463,20 @@
         let ahead = |(t, w): (&u64, &u32)| *w > weight || (*w == weight && *t < ticket);
         assert!(!self.waiting.iter().any(ahead), "out of order");
         self.running.push(ticket);
-        assert!(self.running.len() <= self.width, "more than the slots run");
+        assert!(self.running.len() <= self.limit, "more than the slots run");
     }
 
     fn finish(&mut self) {
-        self.tell(admit::Event::Drain);
+        self.handle(admit::Event::Drain);
         self.drained = true;
-        self.step(Step::Arrive { weight: 9, patience: 100 });
+        self.step(Step::Arrive { weight: 9, timeout: 100 });
         assert!(self.waiting.is_empty(), "a call has no answer");
         for ticket in std::mem::take(&mut self.running) {
-            assert!(!self.bench.gate.is_drained());
-            let actions = self.bench.end(ticket, self.now);
+            assert!(!self.harness.gate.is_drained());
+            let actions = self.harness.end(ticket, self.now);
             self.check(&actions);
         }
-        assert!(self.bench.gate.is_drained());
+        assert!(self.harness.gate.is_drained());
     }
 }
 
@@ -479,7 +486,7 @@
     /// Slots are never exceeded, each arrival gets one answer, waiters run in order of weight and
     /// arrival, and nothing runs after a drain.
     #[test]
-    fn a_gate_keeps_its_promises(steps in prop::collection::vec(step(), 1..120)) {
+    fn a_gate_keeps_its_invariants(steps in prop::collection::vec(step(), 1..120)) {
         let mut model = Model::new();
         for step in steps {
             model.step(step);
@@ -488,12 +495,13 @@
     }
 }
 
-/// Calls served, and of them those in time, when 1.4 times as many come as one upstream carries:
-/// nine slots, 45 to 135 ms a call, 200 ms until a call loses worth, 1200 ms until its caller leaves.
+/// Served calls, and those of them in time, at 1.4 times the load that one upstream can carry: nine
+/// slots, 45 to 135 ms a call, a target of 200 ms and a deadline of 1200 ms. With `targets`, the
+/// gate knows the targets.
 fn overload(targets: bool) -> (u32, u32) {
     const CALLS: u64 = 4000;
     const GAP_US: u64 = 7140;
-    let mut bench = Bench::new(9, 16);
+    let mut harness = Harness::new(9, 16);
     let mut ends: collections::BTreeSet<(u64, u64)> = collections::BTreeSet::new();
     let mut began = collections::HashMap::new();
     let (mut served, mut timely) = (0, 0);
@@ -503,17 +511,17 @@
             ends.remove(&(end, ticket));
             served += 1;
             timely += u32::from(end <= began[&ticket] + 200);
-            start(&bench.end(ticket, end), end, &mut ends);
+            start(&harness.end(ticket, end), end, &mut ends);
         }
         began.insert(number, now);
         let target = if targets { now + 200 } else { now + 1200 };
-        let actions = bench.arrive_for(number, BROWSE, target, now + 1200, now);
+        let actions = harness.arrive_for(number, BROWSE, target, now + 1200, now);
         start(&actions, now, &mut ends);
     }
     (served, timely)
 }
 
-/// Runs what the gate let in; a call takes 45 to 135 ms, by its number.
+/// Runs the calls that the gate admitted; a call takes 45 to 135 ms, depending on its ticket.
 fn start(actions: &[admit::Action], now: u64, ends: &mut collections::BTreeSet<(u64, u64)>) {
     for action in actions {
         if let admit::Action::Run { ticket } = action {
@@ -524,7 +532,7 @@
 }
 
 #[test]
-fn a_crowd_is_served_in_time() {
+fn calls_are_served_in_time_under_overload() {
     let ((before, late), (after, timely)) = (overload(false), overload(true));
     println!("served {before} before and {after} after, in time {late} and {timely}");
     assert!(after * 100 >= before * 97, "the slots stay busy: {after} of {before}");
@@ -532,34 +540,35 @@
     assert!(late * 4 < timely, "{late} in time without targets, {timely} with them");
 }
 
-/// Calls of the same crowd in time, counted from their callers' first try, where callers that are refused
-/// come back twice as they are told. `known`: the gate hears when they came first.
-fn overload_with_returns(known: bool) -> u32 {
+/// Calls in time under the same overload, counted from the first attempt, where refused callers
+/// retry twice after the time that the refusal names. With `known`, the targets count from the
+/// first attempt.
+fn overload_with_retries(known: bool) -> u32 {
     const CALLERS: u64 = 4000;
     const GAP_US: u64 = 7140;
-    const TRIES: u64 = 3;
-    let mut bench = Bench::new(9, 16);
+    const ATTEMPTS: u64 = 3;
+    let mut harness = Harness::new(9, 16);
     let mut ends: collections::BTreeSet<(u64, u64)> = collections::BTreeSet::new();
     let first = |caller: u64| caller * GAP_US / 1000;
-    // Tries by time; a ticket is the number of the caller and of its try.
-    let mut tries: collections::BTreeSet<(u64, u64)> =
-        (0..CALLERS).map(|caller| (first(caller), caller * TRIES)).collect();
+    // Attempts by time; a ticket holds the numbers of the caller and of its attempt.
+    let mut attempts: collections::BTreeSet<(u64, u64)> =
+        (0..CALLERS).map(|caller| (first(caller), caller * ATTEMPTS)).collect();
     let mut timely = 0;
-    while let Some((now, ticket)) = tries.pop_first() {
+    while let Some((now, ticket)) = attempts.pop_first() {
         while let Some((end, done)) = ends.first().copied().filter(|(end, _)| *end <= now) {
             ends.remove(&(end, done));
-            timely += u32::from(end <= first(done / TRIES) + 200);
-            start(&bench.end(done, end), end, &mut ends);
+            timely += u32::from(end <= first(done / ATTEMPTS) + 200);
+            start(&harness.end(done, end), end, &mut ends);
         }
-        let since = first(ticket / TRIES);
+        let since = first(ticket / ATTEMPTS);
         let target = if known { since + 200 } else { now + 200 };
-        let actions = bench.arrive_for(ticket, BROWSE, target, since + 1200, now);
+        let actions = harness.arrive_for(ticket, BROWSE, target, since + 1200, now);
         start(&actions, now, &mut ends);
         for action in &actions {
             let admit::Action::Refuse { ticket, retry_after, .. } = action else { continue };
-            if ticket.0 % TRIES + 1 < TRIES {
+            if ticket.0 % ATTEMPTS + 1 < ATTEMPTS {
                 let pause = u64::try_from(retry_after.as_millis()).expect("a short pause");
-                tries.insert((now + pause.max(1), ticket.0 + 1));
+                attempts.insert((now + pause.max(1), ticket.0 + 1));
             }
         }
     }
@@ -567,21 +576,21 @@
 }
 
 #[test]
-fn callers_that_come_back_do_not_take_the_place_of_those_in_time() {
-    let (before, after) = (overload_with_returns(false), overload_with_returns(true));
+fn retries_do_not_displace_calls_in_time() {
+    let (before, after) = (overload_with_retries(false), overload_with_retries(true));
     println!("in time {before} before and {after} after");
     assert!(after * 10 >= before * 11, "{after} in place of {before}");
 }
 
-/// Less urgent calls served and those of them in time, and the same of urgent ones, when 1.3 times as many come as
-/// four slots carry: as many of each kind, urgent ones of 60 to 200 ms with 500 ms to their target, others
-/// of 60 to 320 ms with 400 ms.
+/// Served calls and those of them in time, for less urgent and for urgent calls, at 1.3 times the
+/// load that four slots can carry. Half of the calls are urgent, take 60 to 200 ms and have a
+/// target of 500 ms; the others take 60 to 320 ms and have a target of 400 ms.
 fn two_ranks() -> [(u32, u32); 2] {
     const CALLS: u64 = 6000;
     const URGENT: admit::Kind = admit::Kind(1);
     const OTHER: admit::Kind = admit::Kind(2);
     let mut rng = rngs::SmallRng::seed_from_u64(7);
-    let mut bench = Bench::new(4, 16);
+    let mut harness = Harness::new(4, 16);
     let mut ends: collections::BTreeSet<(u64, u64)> = collections::BTreeSet::new();
     // When each call came and how long it runs.
     let mut calls = collections::HashMap::new();
@@ -596,7 +605,7 @@
             let (served, timely) = &mut counts[usize::from(urgent)];
             *served += 1;
             *timely += u32::from(end <= came + if urgent { 500 } else { 400 });
-            for action in bench.end(done, end) {
+            for action in harness.end(done, end) {
                 if let admit::Action::Run { ticket } = action {
                     ends.insert((end + calls[&ticket.0].1, ticket.0));
                 }
@@ -607,7 +616,7 @@
         calls.insert(ticket, (now, took));
         let (kind, weight, target) =
             if urgent { (URGENT, ORDER, 500) } else { (OTHER, BROWSE, 400) };
-        for action in bench.arrive_of(kind, ticket, weight, now + target, now + 2000, now) {
+        for action in harness.arrive_of(kind, ticket, weight, now + target, now + 2000, now) {
             if let admit::Action::Run { ticket } = action {
                 ends.insert((now + calls[&ticket.0].1, ticket.0));
             }
@@ -617,73 +626,81 @@
 }
 
 #[test]
-fn less_urgent_calls_are_let_in_where_they_can_be_in_time() {
+fn less_urgent_calls_are_admitted_if_they_can_be_in_time() {
     let [other, urgent] = two_ranks();
     println!("less urgent: {other:?} served and in time, urgent: {urgent:?}");
     assert!(other.1 * 100 >= other.0 * 80, "{other:?} in time");
     assert!(urgent.1 * 100 >= urgent.0 * 90, "{urgent:?} in time");
 }
 
-/// Nine slots, most of them taken by uploads of 250 ms; short calls of 40 ms have 150 ms.
+/// Nine slots are taken by uploads of 250 ms; short calls of 40 ms have a target of 150 ms.
 #[test]
 fn a_short_call_is_judged_by_its_own_kind() {
     const LONG: admit::Kind = admit::Kind(1);
     const SHORT: admit::Kind = admit::Kind(2);
-    let mut bench = Bench::new(9, 16);
-    bench.arrive_of(SHORT, 0, BROWSE, 1000, 1000, 0);
-    bench.end(0, 40);
-    (1..10).for_each(|n| drop(bench.arrive_of(LONG, n, BROWSE, 2000, 2000, 40)));
-    (1..10).for_each(|n| drop(bench.end(n, 290)));
-    (10..19).for_each(|n| drop(bench.arrive_of(LONG, n, BROWSE, 2000, 2000, 290)));
-    let crowd = (19..22).map(|n| bench.arrive_of(SHORT, n, BROWSE, 440, 790, 290));
-    assert_eq!(crowd.flatten().collect::<Vec<_>>(), []);
-    assert_eq!(bench.arrive_of(SHORT, 22, BROWSE, 440, 790, 290), [], "45 ms in, 40 ms to run");
-    let late = bench.arrive_of(LONG, 23, BROWSE, 440, 790, 290);
-    assert_eq!(refused(&late), [(23, retry::Reason::Full)], "it takes 250 ms by itself");
-}
-
-/// Uploads of 200 ms with 800 ms to their target wait when a call of 40 ms comes that has 150 ms;
-/// it goes first, until an upload has to start as well.
+    let mut harness = Harness::new(9, 16);
+    harness.arrive_of(SHORT, 0, BROWSE, 1000, 1000, 0);
+    harness.end(0, 40);
+    (1..10).for_each(|n| drop(harness.arrive_of(LONG, n, BROWSE, 2000, 2000, 40)));
+    (1..10).for_each(|n| drop(harness.end(n, 290)));
+    (10..19).for_each(|n| drop(harness.arrive_of(LONG, n, BROWSE, 2000, 2000, 290)));
+    let admitted = (19..22).map(|n| harness.arrive_of(SHORT, n, BROWSE, 440, 790, 290));
+    assert_eq!(admitted.flatten().collect::<Vec<_>>(), []);
+    assert_eq!(
+        harness.arrive_of(SHORT, 22, BROWSE, 440, 790, 290),
+        [],
+        "it waits for 45 ms and runs for 40 ms"
+    );
+    let late = harness.arrive_of(LONG, 23, BROWSE, 440, 790, 290);
+    assert_eq!(refused(&late), [(23, retry::Reason::Full)], "it runs for 250 ms");
+}
+
+/// Uploads of 200 ms with a target of 800 ms wait when a call of 40 ms with a closer target comes.
+/// It runs first, unless an upload has to start as well.
 #[test]
-fn a_call_that_has_to_start_sooner_goes_before_others_of_its_weight() {
+fn a_call_that_has_to_start_sooner_runs_before_others_of_its_weight() {
     const LONG: admit::Kind = admit::Kind(1);
     const SHORT: admit::Kind = admit::Kind(2);
-    let mut bench = Bench::new(1, 16);
-    bench.arrive_of(SHORT, 0, BROWSE, 1000, 1000, 0);
-    bench.end(0, 40);
-    bench.arrive_of(LONG, 1, BROWSE, 2000, 2000, 40);
-    bench.end(1, 240);
-    bench.arrive_of(LONG, 2, BROWSE, 1040, 5000, 240);
-    bench.arrive_of(LONG, 3, BROWSE, 1040, 5000, 240);
-    bench.arrive_of(LONG, 4, BROWSE, 1041, 5000, 241);
-    bench.arrive_of(SHORT, 5, BROWSE, 590, 590, 250);
-    assert_eq!(bench.end(2, 440), [run(5)]);
-    assert_eq!(bench.end(5, 480), [run(3)]);
-    bench.arrive_of(SHORT, 6, BROWSE, 910, 1200, 760);
-    assert_eq!(bench.end(3, 780), [run(4)], "it has to start at 841, the short one at 870");
+    let mut harness = Harness::new(1, 16);
+    harness.arrive_of(SHORT, 0, BROWSE, 1000, 1000, 0);
+    harness.end(0, 40);
+    harness.arrive_of(LONG, 1, BROWSE, 2000, 2000, 40);
+    harness.end(1, 240);
+    harness.arrive_of(LONG, 2, BROWSE, 1040, 5000, 240);
+    harness.arrive_of(LONG, 3, BROWSE, 1040, 5000, 240);
+    harness.arrive_of(LONG, 4, BROWSE, 1041, 5000, 241);
+    harness.arrive_of(SHORT, 5, BROWSE, 590, 590, 250);
+    assert_eq!(harness.end(2, 440), [run(5)]);
+    assert_eq!(harness.end(5, 480), [run(3)]);
+    harness.arrive_of(SHORT, 6, BROWSE, 910, 1200, 760);
+    assert_eq!(
+        harness.end(3, 780),
+        [run(4)],
+        "it has to start by 841 ms, the short call by 870 ms"
+    );
 }
 
 #[test]
-fn a_call_that_would_come_late_waits_while_nobody_else_does() {
-    let mut bench = Bench::new(3, 9);
-    bench.arrive(1, BROWSE, 1000, 0);
-    bench.end(1, 100);
-    (2..5).for_each(|ticket| drop(bench.arrive(ticket, BROWSE, 1000, 100)));
-    assert_eq!(bench.arrive_for(5, BROWSE, 110, 1000, 100), []);
-    let crowded = [(6, retry::Reason::Full)];
-    assert_eq!(refused(&bench.arrive_for(6, BROWSE, 110, 1000, 100)), crowded);
+fn a_call_that_would_be_late_may_wait_if_no_other_does() {
+    let mut harness = Harness::new(3, 9);
+    harness.arrive(1, BROWSE, 1000, 0);
+    harness.end(1, 100);
+    (2..5).for_each(|ticket| drop(harness.arrive(ticket, BROWSE, 1000, 100)));
+    assert_eq!(harness.arrive_for(5, BROWSE, 110, 1000, 100), []);
+    let refusal = [(6, retry::Reason::Full)];
+    assert_eq!(refused(&harness.arrive_for(6, BROWSE, 110, 1000, 100)), refusal);
 }
 
 #[test]
-fn refused_calls_are_told_to_come_back_apart_and_after_the_backlog() {
-    let mut bench = Bench::new(1, 1);
-    bench.arrive(0, BROWSE, 10_000, 0);
-    bench.end(0, 100);
-    bench.arrive(1, BROWSE, 10_000, 100);
-    bench.arrive(2, BROWSE, 10_000, 100);
+fn refused_calls_are_retried_at_different_times_after_the_backlog() {
+    let mut harness = Harness::new(1, 1);
+    harness.arrive(0, BROWSE, 10_000, 0);
+    harness.end(0, 100);
+    harness.arrive(1, BROWSE, 10_000, 100);
+    harness.arrive(2, BROWSE, 10_000, 100);
     let mut times = collections::BTreeSet::new();
     for ticket in 3..11 {
-        let actions = bench.arrive(ticket, BROWSE, 10_000, 100);
+        let actions = harness.arrive(ticket, BROWSE, 10_000, 100);
         let [admit::Action::Refuse { retry_after, .. }] = actions[..] else {
             panic!("not refused: {actions:?}");
         };
@@ -694,60 +711,69 @@
     assert_eq!(times.len(), 8, "{times:?}");
 }
 
-/// One slot, calls of 100 ms one after the other; each time a call waits, three that go first come
-/// after it. Gives whether a call that could start in time by what is there now is let in at the end.
-fn is_let_in_after_waits(overtaken: bool) -> bool {
-    let mut bench = Bench::new(1, 9);
+/// One slot and calls of 100 ms in sequence. With `overtaken`, three calls that run first come
+/// after each call that waits. Returns whether, after that, a call is admitted that could start in
+/// time judging by the queue.
+fn is_admitted_after_waits(overtaken: bool) -> bool {
+    let mut harness = Harness::new(1, 9);
     let (mut ticket, mut now) = (0, 0);
-    bench.arrive(ticket, BROWSE, 1_000_000, now);
+    harness.arrive(ticket, BROWSE, 1_000_000, now);
     for _ in 0..40 {
         let running = ticket;
-        bench.arrive(ticket + 1, BROWSE, 1_000_000, now);
-        let firsts = if overtaken { ticket + 2..ticket + 5 } else { ticket + 2..ticket + 2 };
+        harness.arrive(ticket + 1, BROWSE, 1_000_000, now);
+        let inner_calls = if overtaken { ticket + 2..ticket + 5 } else { ticket + 2..ticket + 2 };
         let mut last = running;
-        for first in firsts.clone() {
-            bench.tell(inner(first, 1_000_000, 1_000_000), now);
+        for first in inner_calls.clone() {
+            harness.handle(inner(first, 1_000_000, 1_000_000), now);
         }
-        for first in firsts {
+        for first in inner_calls {
             now += 100;
-            bench.end(last, now);
+            harness.end(last, now);
             last = first;
         }
         now += 100;
-        bench.end(last, now);
+        harness.end(last, now);
         ticket += 1;
         if overtaken {
             now += 100;
-            bench.end(ticket, now);
+            harness.end(ticket, now);
             ticket += 4;
-            bench.arrive(ticket, BROWSE, 1_000_000, now);
+            harness.arrive(ticket, BROWSE, 1_000_000, now);
         }
     }
-    bench.arrive(ticket + 1, BROWSE, 1_000_000, now);
-    refused(&bench.arrive_for(ticket + 2, BROWSE, now + 350, now + 10_000, now)).is_empty()
+    harness.arrive(ticket + 1, BROWSE, 1_000_000, now);
+    refused(&harness.arrive_for(ticket + 2, BROWSE, now + 350, now + 10_000, now)).is_empty()
 }
 
 #[rstest]
 #[case::as_expected(false, true)]
 #[case::overtaken(true, false)]
-fn waits_that_were_longer_than_expected_count(#[case] overtaken: bool, #[case] let_in: bool) {
-    assert_eq!(is_let_in_after_waits(overtaken), let_in);
+fn waits_longer_than_expected_are_taken_into_account(
+    #[case] overtaken: bool,
+    #[case] admitted: bool,
+) {
+    assert_eq!(is_admitted_after_waits(overtaken), admitted);
 }
 
-/// Two calls wait for 100 ms each; a third would end on time if it took as long as the mean.
+/// One call of 100 ms runs and another one waits; a third would end in time if each took as long as
+/// the mean.
 #[rstest]
 #[case::even(100, 100, true)]
 #[case::uneven(10, 190, false)]
-fn times_that_vary_leave_a_margin(#[case] short: u64, #[case] long: u64, #[case] let_in: bool) {
-    let mut bench = Bench::new(1, 9);
+fn varying_service_times_leave_a_margin(
+    #[case] short: u64,
+    #[case] long: u64,
+    #[case] admitted: bool,
+) {
+    let mut harness = Harness::new(1, 9);
     let mut now = 0;
     for ticket in 0..100 {
-        bench.arrive(ticket, BROWSE, 1_000_000, now);
+        harness.arrive(ticket, BROWSE, 1_000_000, now);
         now += if ticket % 2 == 0 { short } else { long };
-        bench.end(ticket, now);
+        harness.end(ticket, now);
     }
-    bench.arrive(100, BROWSE, 1_000_000, now);
-    bench.arrive(101, BROWSE, 1_000_000, now);
-    let refused = refused(&bench.arrive_for(102, BROWSE, now + 320, now + 10_000, now));
-    assert_eq!(refused.is_empty(), let_in);
+    harness.arrive(100, BROWSE, 1_000_000, now);
+    harness.arrive(101, BROWSE, 1_000_000, now);
+    let refused = refused(&harness.arrive_for(102, BROWSE, now + 320, now + 10_000, now));
+    assert_eq!(refused.is_empty(), admitted);
 }
