--- a/src/spread/confirm.rs
+++ b/src/spread/confirm.rs
@@ -1,7 +1,8 @@
-//! Whether the log holds anything newer than what other nodes gave.
+//! Checks whether the log holds a newer version than the one received from other nodes.
 //!
-//! A node that starts looks at the records after its version. It does not judge them, since it
-//! lacks the memory of publish ids that a reader's fold has; it only learns whether to wait.
+//! A node that starts looks at the records after its version. It can't judge them, because it
+//! lacks the outcomes of earlier publishes that a reader's fold has; it only learns whether to wait
+//! for a newer version.
 
 use crate::fold::record;
 use crate::fold::rules;
@@ -9,41 +10,41 @@
 use crate::mesh;
 use crate::version;
 
-/// What the log's tail says about a version.
+/// What the tail of the log says about the version held.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Tail {
-    /// It is the current one.
+pub enum Finding {
+    /// It is the newest one.
     Current,
-    /// This one seems to have been accepted after it.
+    /// This version was probably accepted after it.
     Newer(version::Version),
-    /// Too many records follow it, or some have expired.
+    /// The batch does not cover all records after it: too many follow, or some have expired.
     Unknown,
 }
 
-/// Looks at `batch`, read from the record after `held` on.
-pub fn look(batch: &logs::Batch, held: version::Version) -> Tail {
+/// Checks `batch`, which was read from the offset after `held`.
+pub fn check_tail(batch: &logs::Batch, held: version::Version) -> Finding {
     let newer = batch.records.iter().filter_map(|r| successor(r, held)).max();
     if let Some(newer) = newer {
-        return Tail::Newer(newer);
+        return Finding::Newer(newer);
     }
     let end = batch.records.last().map_or(batch.first.max(held.next_offset()), |r| r.offset + 1);
     let follows = batch.epoch == held.epoch() && batch.first <= held.next_offset();
-    let whole = follows || batch.records.iter().any(|r| keeps(r, held));
-    match whole && end >= batch.next {
-        true => Tail::Current,
-        false => Tail::Unknown,
+    let complete = follows || batch.records.iter().any(|r| confirms(r, held));
+    match complete && end >= batch.next {
+        true => Finding::Current,
+        false => Finding::Unknown,
     }
 }
 
-/// The version that `record` seems to put after `held`.
+/// The version newer than `held` that `record` names or, as a valid publish on `held`, creates.
 fn successor(record: &logs::Record, held: version::Version) -> Option<version::Version> {
     match record::decode(&record.body, rules::NEWEST_FORMAT).ok()? {
         record::Record::Publish(publish) => {
             let follows = publish.base == held && mesh::check::check(&publish.body).is_ok();
             follows.then(|| version::Version::new(record.offset + 1))
         }
-        record::Record::Accepted(settled) => {
-            Some(settled.version).filter(|&version| version > held)
+        record::Record::Accepted(accepted) => {
+            Some(accepted.version).filter(|&version| version > held)
         }
         record::Record::Snapshot(snapshot) => {
             Some(snapshot.version_id.version).filter(|&version| version > held)
@@ -51,11 +52,11 @@
     }
 }
 
-/// Whether `record` says that nothing newer than `held` came before it.
-fn keeps(record: &logs::Record, held: version::Version) -> bool {
+/// Whether `record` shows that no version newer than `held` was accepted before it.
+fn confirms(record: &logs::Record, held: version::Version) -> bool {
     match record::decode(&record.body, rules::NEWEST_FORMAT) {
         Ok(record::Record::Snapshot(snapshot)) => snapshot.version_id.version == held,
-        Ok(record::Record::Accepted(settled)) => settled.version <= held,
+        Ok(record::Record::Accepted(accepted)) => accepted.version <= held,
         _ => false,
     }
 }
--- a/src/spread/decision.rs
+++ b/src/spread/decision.rs
@@ -1,7 +1,8 @@
-//! The decisions of the distribution: a state machine without sockets, clock or threads.
+//! The logic of the distribution: a state machine without sockets, clock or threads.
 //!
-//! This file holds the state and takes events apart; `learn` decides what follows
-//! from a version newly held, `answer` what follows from other nodes' messages.
+//! This file holds the state and dispatches events; `dissemination` decides when a new version
+//! runs and where it is pushed, `peer_messages` handles other nodes' messages, and `log_reads`
+//! handles reads of the log.
 
 use std::collections;
 use std::fmt;
@@ -23,113 +24,113 @@
 use crate::spread::peers;
 use crate::spread::pull;
 use crate::spread::push;
+use crate::spread::read_schedule;
 use crate::spread::recovery;
 use crate::spread::replica;
 use crate::spread::start;
-use crate::spread::tail;
 use crate::version;
 use crate::view;
 
-/// Name of one transfer asked of this node.
-pub type Transfer = u64;
+/// Identifies one transfer requested from this node.
+pub type TransferId = u64;
 
-/// What happens to a node.
+/// An input of the state machine.
 #[derive(Debug)]
 pub enum Event {
     /// Another node sent a datagram.
     Datagram {
-        /// Its sender.
+        /// The sender.
         host: host::HostId,
-        /// What it says.
+        /// The content.
         datagram: message::Datagram,
     },
-    /// A parcel answered to a transfer was sent, or its asker has gone.
-    Ended,
-    /// Another node asks for a transfer.
+    /// The reply to a transfer that carried an update was sent, or its connection has closed.
+    TransferSent,
+    /// Another node requested a transfer.
     Fetch {
-        /// Name of the transfer.
-        transfer: Transfer,
+        /// Identifies the transfer.
+        transfer: TransferId,
         /// The request.
         fetch: message::Fetch,
     },
-    /// A transfer that this node asked for has ended; `None` when it failed.
+    /// A transfer that this node requested has ended.
     Fetched {
         /// The serving host.
         host: host::HostId,
-        /// Its answer.
-        served: Option<message::Served>,
+        /// Its reply; `None` when the transfer failed.
+        served: Option<message::FetchReply>,
     },
-    /// Membership heard what another host runs.
-    Heard {
+    /// Membership reported that another host runs a different version.
+    VersionReported {
         /// The other host.
         host: host::HostId,
-        /// What it runs.
+        /// The version that it runs.
         version: version::Version,
     },
-    /// A read of the log has ended; `None` when it failed.
+    /// A read of the log has ended.
     Read {
-        /// What it gave.
+        /// The records read; `None` when the read failed.
         batch: Option<logs::Batch>,
         /// Wall-clock time, in milliseconds since the Unix epoch.
         unix_millis: u64,
     },
-    /// Time has passed.
+    /// A deadline may have passed; see [`Spread::next_wake`].
     Tick,
     /// The known hosts have changed.
     View(Arc<view::View>),
 }
 
-/// What a node does.
+/// An output of the state machine, for the caller to perform.
 #[derive(Debug)]
 pub enum Action {
-    /// Answer a transfer asked of this node.
-    Answer {
-        /// Name of the transfer.
-        transfer: Transfer,
-        /// The answer.
-        served: message::Served,
+    /// Reply to a transfer that another node requested.
+    Reply {
+        /// Identifies the transfer.
+        transfer: TransferId,
+        /// The reply.
+        reply: message::FetchReply,
     },
     /// Append a snapshot to the log.
     Append(Bytes),
-    /// Ask `host` for a transfer.
+    /// Request a transfer from `host`.
     Fetch {
-        /// The serving host.
+        /// The host that is to serve it.
         host: host::HostId,
-        /// What this node holds.
+        /// The version that this node holds.
         have: version::Version,
     },
     /// Read the log.
-    Read(tail::Read),
-    /// Run this configuration from now on.
+    Read(read_schedule::Read),
+    /// Apply this configuration.
     Run(Arc<mesh::Applied>),
     /// Send a datagram.
     Send {
-        /// To whom.
+        /// The receiver.
         host: host::HostId,
-        /// What it says.
+        /// The content.
         datagram: message::Datagram,
     },
 }
 
-/// Who a node is.
+/// What the state machine has to know about its own node.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// This host.
     pub host: host::HostId,
     /// Its availability zone.
     pub zone: SmolStr,
-    /// Whether hosts are configured to join through.
+    /// Whether the settings name hosts to join through.
     pub join: bool,
-    /// Longest wait of one read of the log for a record.
+    /// How long one read of the log waits for a new record.
     pub wait: time::Duration,
-    /// How long the log keeps a record at least.
+    /// Minimum time for which the log keeps a record.
     pub retention: time::Duration,
 }
 
-/// The distribution as one node decides it.
+/// The state of the distribution at one node.
 ///
-/// Invariants: `running` never goes back and never exceeds what `replica` holds; nothing runs
-/// below `floor`, the highest version this host is known to have run in an earlier life.
+/// Invariants: `running` never goes back and never exceeds the version that `replica` holds; no
+/// version runs below `min_version`.
 pub struct Spread {
     pub(super) identity: Identity,
     pub(super) settings: configs::spread::Spread,
@@ -137,7 +138,7 @@
     pub(super) peers: peers::Peers,
     pub(super) replica: replica::Replica,
     pub(super) start: start::Machine,
-    pub(super) tail: tail::Tail,
+    pub(super) schedule: read_schedule::ReadSchedule,
     pub(super) reader: reader::Reader<rules::Builtin>,
     /// Epoch of the last read of the log.
     pub(super) epoch: Option<logs::Epoch>,
@@ -146,12 +147,15 @@
     pub(super) push: push::Push,
     pub(super) pull: pull::Pull,
     pub(super) running: version::VersionId,
-    pub(super) told: version::Version,
-    pub(super) floor: version::Version,
-    pub(super) witness: Option<clock::Instant>,
-    pub(super) serving: u8,
-    pub(super) served: collections::VecDeque<host::HostId>,
-    pub(super) origin: clock::Instant,
+    /// Highest version that the hosts queried at start have reported.
+    pub(super) reported: version::Version,
+    /// Highest version that this host is known to have run before its restart.
+    pub(super) min_version: version::Version,
+    /// Until when a version read from the log waits for a witness, another host that holds it.
+    pub(super) witness_deadline: Option<clock::Instant>,
+    pub(super) transfers_served: u8,
+    pub(super) recently_served: collections::VecDeque<host::HostId>,
+    pub(super) started_at: clock::Instant,
     pub(super) actions: Vec<Action>,
 }
 
@@ -162,11 +166,11 @@
             .field("phase", &self.start.phase())
             .field("held", &self.held().version)
             .field("running", &self.running.version)
-            .field("told", &self.told)
-            .field("floor", &self.floor)
-            .field("witness", &self.witness)
+            .field("reported", &self.reported)
+            .field("min_version", &self.min_version)
+            .field("witness_deadline", &self.witness_deadline)
             .field("role", &self.role())
-            .field("tail", &self.tail)
+            .field("schedule", &self.schedule)
             .field("push", &self.push)
             .field("pull", &self.pull)
             .finish_non_exhaustive()
@@ -174,7 +178,7 @@
 }
 
 impl Spread {
-    /// A node that starts at `now`; `seed` fixes its random choices.
+    /// The state of a node that starts at `now`; `seed` determines its random choices.
     pub fn new(
         identity: Identity,
         settings: configs::spread::Spread,
@@ -188,7 +192,7 @@
             peers: peers::Peers::new(identity.host),
             replica: replica::Replica::new(settings.keep),
             start: start::Machine::new(limits),
-            tail: tail::Tail::new(&settings, identity.wait),
+            schedule: read_schedule::ReadSchedule::new(&settings, identity.wait),
             reader: reader::Reader::new(rules::Builtin),
             epoch: None,
             recovery: recovery::Recovery::default(),
@@ -196,12 +200,12 @@
             push: push::Push::new(&settings),
             pull: pull::Pull::new(),
             running: version::VersionId::default(),
-            told: version::Version::NONE,
-            floor: version::Version::NONE,
-            witness: None,
-            serving: 0,
-            served: collections::VecDeque::new(),
-            origin: now,
+            reported: version::Version::NONE,
+            min_version: version::Version::NONE,
+            witness_deadline: None,
+            transfers_served: 0,
+            recently_served: collections::VecDeque::new(),
+            started_at: now,
             actions: Vec::new(),
             identity,
             settings,
@@ -209,66 +213,71 @@
         }
     }
 
-    /// Takes an event and gives what to do, in order.
+    /// Handles an event and returns the actions to perform, in order.
     pub fn handle(&mut self, event: Event, now: clock::Instant) -> Vec<Action> {
         match event {
-            Event::Datagram { host, datagram } => self.datagram(host, datagram, now),
-            Event::Ended => self.serving = self.serving.saturating_sub(1),
-            Event::Fetch { transfer, fetch } => self.serve(transfer, &fetch),
-            Event::Fetched { host, served } => self.fetched(host, served, now),
-            Event::Heard { host, version } => self.heard(host, version, now),
-            Event::Read { batch: Some(batch), unix_millis } => self.read(&batch, unix_millis, now),
-            Event::Read { batch: None, .. } => self.unread(now),
+            Event::Datagram { host, datagram } => self.handle_datagram(host, datagram, now),
+            Event::TransferSent => self.transfers_served = self.transfers_served.saturating_sub(1),
+            Event::Fetch { transfer, fetch } => self.handle_fetch(transfer, &fetch),
+            Event::Fetched { host, served } => self.handle_fetched(host, served, now),
+            Event::VersionReported { host, version } => {
+                self.handle_version_report(host, version, now)
+            }
+            Event::Read { batch: Some(batch), unix_millis } => {
+                self.handle_read(&batch, unix_millis, now)
+            }
+            Event::Read { batch: None, .. } => self.handle_failed_read(now),
             Event::Tick => {}
             Event::View(view) => self.peers.update(&view, &self.identity.zone),
         }
-        self.settle(start::Event::Tick, now);
+        self.advance_start(start::Event::Tick, now);
         self.tick_push(now);
         self.tick_pull(now);
-        self.tick_tail(now);
+        self.tick_reads(now);
         self.tick_recovery(now);
-        self.advance(now);
+        self.run_held(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// When [`Event::Tick`] is due at the latest, if nothing else happens before.
-    pub fn wake(&self, now: clock::Instant) -> Option<clock::Instant> {
-        let starting = !self.settled();
-        let start = starting.then(|| now + START_TICK);
-        let tail = self.tail.due(self.role());
-        [start, self.push.due(), self.pull.due(), self.recovery.due(), tail, self.witness]
+    /// When [`Event::Tick`] is due, if no other event comes before.
+    pub fn next_wake(&self, now: clock::Instant) -> Option<clock::Instant> {
+        let starting = !self.started();
+        let start = starting.then(|| now + START_CHECK_INTERVAL);
+        let tail = self.schedule.due(self.role());
+        [start, self.push.due(), self.pull.due(), self.recovery.due(), tail, self.witness_deadline]
             .into_iter()
             .flatten()
             .min()
     }
 
-    /// What this node runs.
+    /// The version that this node runs.
     pub const fn running(&self) -> version::VersionId {
         self.running
     }
 
-    /// What this node holds; it may wait to run it.
+    /// The newest version that this node holds, even if it does not run it yet.
     pub fn held(&self) -> version::VersionId {
         self.replica.version_id()
     }
 
-    /// Whether the node has started: it knows what it may run.
-    pub fn settled(&self) -> bool {
-        self.start.phase() == start::Phase::Settled
+    /// Whether the start is complete, so that the node may run the version it holds.
+    pub fn started(&self) -> bool {
+        self.start.phase() == start::Phase::Started
     }
 
-    /// What this node does about the log.
-    pub fn role(&self) -> tail::Role {
-        let ready = [start::Phase::Confirming, start::Phase::Widening, start::Phase::Settled];
-        // What a node began to read before it knew of others it reads to its end: found in the middle
-        // of it by the directory, nodes waited a second for others that waited as well.
-        let began = !self.settled() && self.reader.bounds().is_some();
+    /// This node's part in reading the log.
+    pub fn role(&self) -> read_schedule::Role {
+        let ready = [start::Phase::Confirming, start::Phase::AskingMore, start::Phase::Started];
+        // A node that began to read the log before it knew other hosts reads on to the end. If
+        // nodes stopped when they joined the directory, each would wait a second for others that
+        // wait too.
+        let reading = !self.started() && self.reader.bounds().is_some();
         match self.peers.rank() {
-            _ if !ready.contains(&self.start.phase()) => tail::Role::Idle,
-            _ if began => tail::Role::Follow,
-            0 => tail::Role::Follow,
-            rank if rank < usize::from(self.settings.readers) => tail::Role::Standby,
-            _ => tail::Role::Idle,
+            _ if !ready.contains(&self.start.phase()) => read_schedule::Role::Idle,
+            _ if reading => read_schedule::Role::Follow,
+            0 => read_schedule::Role::Follow,
+            rank if rank < usize::from(self.settings.readers) => read_schedule::Role::Standby,
+            _ => read_schedule::Role::Idle,
         }
     }
 
@@ -276,38 +285,40 @@
         self.actions.push(Action::Send { host, datagram });
     }
 
-    /// Lets the start go on, and does what its new phase asks for.
-    pub(super) fn settle(&mut self, event: start::Event, now: clock::Instant) {
+    /// Passes `event` to the start and performs the entry action of the phase it leads to.
+    pub(super) fn advance_start(&mut self, event: start::Event, now: clock::Instant) {
         let before = self.start.phase();
-        if before == start::Phase::Settled {
+        if before == start::Phase::Started {
             return;
         }
         let facts = start::Facts {
-            now: clock::Instant::ZERO + now.since(self.origin),
-            others: self.peers.others(),
+            now: clock::Instant::ZERO + now.since(self.started_at),
+            other_hosts: self.peers.other_count(),
             held: self.held().version,
-            told: self.told,
-            reader: self.peers.rank() < usize::from(self.settings.readers),
+            reported: self.reported,
+            is_reader: self.peers.rank() < usize::from(self.settings.readers),
         };
         let after = self.start.handle(event, facts);
         if after == before {
             return;
         }
         match after {
-            start::Phase::Asking | start::Phase::Widening => self.ask(),
-            // A reader learns the same by judging the log to its end.
-            start::Phase::Confirming if self.role() == tail::Role::Idle => self.tail.confirm(),
+            start::Phase::Asking | start::Phase::AskingMore => self.query_peers(),
+            // A reader finds out by replaying the log to its end.
+            start::Phase::Confirming if self.role() == read_schedule::Role::Idle => {
+                self.schedule.request_confirmation()
+            }
             _ => {}
         }
     }
 
-    fn ask(&mut self) {
-        let most = self.start.asked();
-        for host in self.peers.ask(most, &mut self.rng) {
-            self.send(host, message::Datagram::Ask);
+    fn query_peers(&mut self) {
+        let max_hosts = self.start.query_count();
+        for host in self.peers.query_targets(max_hosts, &mut self.rng) {
+            self.send(host, message::Datagram::Query);
         }
     }
 }
 
-/// Time between two looks at the start's limits.
-const START_TICK: time::Duration = time::Duration::from_millis(10);
+/// Time between checks of the start's time limits.
+const START_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(10);
--- a/src/spread/message.rs
+++ b/src/spread/message.rs
@@ -6,98 +6,98 @@
 use crate::host;
 use crate::version;
 
-/// Most bytes a sealed push takes beside its patch.
-pub const OVERHEAD: usize = 96;
+/// Maximum size of a sealed push without its patch.
+pub const MAX_PUSH_OVERHEAD_BYTES: usize = 96;
 
-/// How to get from one version's file to another's.
+/// A patch that leads from one version's file to another's.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Parcel {
-    /// The version it leads to, with the digest by which the result is checked.
+pub struct Update {
+    /// The version it leads to, with the digest that the result must have.
     pub version_id: version::VersionId,
-    /// The version it starts from; not used when the patch holds the whole file.
+    /// The version it starts from; ignored when the patch holds the complete file.
     pub base: version::Version,
-    /// The patch.
+    /// The patch between the two files.
     pub patch: delta::Patch,
 }
 
 /// A datagram with its sender, whose address need not be the datagram's source address.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Envelope {
-    /// The sending host, as the others know it; `None` for the host that the datagram's source
-    /// address tells, which saves bytes where only a reply may need it.
+    /// The sending host's id in the mesh. `None` stands for the host of the datagram's source
+    /// address, which saves bytes.
     pub host: Option<host::HostId>,
-    /// What it says.
+    /// The content.
     pub datagram: Datagram,
 }
 
-/// What a datagram says.
+/// The content of a datagram.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Datagram {
-    /// The sender holds `version`; answers a push that asked for it.
+    /// Acknowledges a push that requested it.
     Ack {
-        /// The version held.
+        /// The version that the sender holds.
         version: version::Version,
     },
-    /// A new version too large for a datagram waits at the sender.
+    /// Announces a new version that is too large for a datagram; the receiver may fetch it.
     Announce {
         /// The version, with its digest.
         version_id: version::VersionId,
-        /// What becomes of it.
-        way: Way,
+        /// Whether the receiver forwards it.
+        forwarding: Forwarding,
     },
-    /// What does the mesh run, and what did I run before?
-    Ask,
-    /// A new version.
+    /// Asks, at start, which version the receiver holds and which one the sender ran before.
+    Query,
+    /// Sends a new version.
     Push {
-        /// The version.
-        parcel: Parcel,
-        /// What becomes of it.
-        way: Way,
+        /// The version, as a patch.
+        update: Update,
+        /// Whether the receiver forwards it.
+        forwarding: Forwarding,
     },
-    /// Answers an [`Datagram::Ask`].
-    Tell {
-        /// What the sender holds.
+    /// Replies to a [`Datagram::Query`].
+    QueryReply {
+        /// The version that the sender holds.
         version_id: version::VersionId,
-        /// The highest version the asking host is known to have run.
-        yours: version::Version,
+        /// The highest version that the querying host is known to have run.
+        highest_run: version::Version,
     },
-    /// Send me what you hold; I hold `have`.
-    Want {
-        /// What the sender holds.
+    /// Asks for the newest version that the receiver holds.
+    Request {
+        /// The version that the sender holds.
         have: version::Version,
     },
 }
 
-/// What becomes of a version that was sent.
+/// Whether the receiver of a version forwards it to other hosts.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Way {
-    /// It answers a request and goes no further.
-    Answer,
-    /// It is passed on along the tree.
-    Pass,
-    /// It is passed on along the tree, and the sender waits for an acknowledgement.
-    PassAck,
+pub enum Forwarding {
+    /// It replies to a request and is not forwarded.
+    Reply,
+    /// It is forwarded along the tree.
+    Forward,
+    /// It is forwarded along the tree, and the sender waits for an acknowledgement.
+    ForwardAck,
 }
 
-/// One frame from the side that opened a transfer.
+/// The request frame of a transfer, sent by the host that opened it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Fetch {
-    /// The asking host.
+    /// The requesting host.
     pub host: host::HostId,
-    /// What it holds.
+    /// The version that it holds.
     pub have: version::Version,
 }
 
-/// The frame that answers a [`Fetch`].
+/// The frame that replies to a [`Fetch`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Served {
-    /// Too many transfers at once.
+pub enum FetchReply {
+    /// Refused: the host already serves as many transfers as it may.
     Busy {
-        /// A host that holds what was asked for.
+        /// A host that was served before and can be asked instead.
         other: Option<host::HostId>,
     },
-    /// Nothing newer is held here.
-    Nothing,
-    /// The newest version held.
-    Parcel(Parcel),
+    /// The serving host holds no newer version.
+    UpToDate,
+    /// The newest version that the serving host holds.
+    Update(Update),
 }
--- a/src/spread/mod.rs
+++ b/src/spread/mod.rs
@@ -1,28 +1,29 @@
 //! Distribution of accepted configurations among the nodes.
 //!
-//! A few readers of each availability zone read the log; they push a new version along a tree of
-//! the zone's hosts; whoever was missed hears of it by membership's probes and pulls it.
+//! A few readers in each availability zone read the log and push a new version along a tree of the
+//! zone's hosts. A host that a push missed learns of the version from membership's probes and pulls
+//! it.
 
 use std::io;
 use std::net;
 
-mod answer;
 pub mod confirm;
 pub mod decision;
-mod learn;
+mod dissemination;
+mod log_reads;
 pub mod message;
+mod peer_messages;
 pub mod peers;
 pub mod pull;
 pub mod push;
-mod reading;
+pub mod read_schedule;
 pub mod recovery;
 pub mod replica;
-pub mod shelf;
 pub mod shell;
 pub mod start;
-pub mod tail;
 pub mod transfer;
 pub mod tree;
+pub mod version_cache;
 pub mod wire;
 
 #[cfg(test)]
@@ -31,12 +32,12 @@
 /// Why the distribution duty ended.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The address can't be listened on.
+    /// The sockets can't be bound.
     #[error("can't receive configurations on {address}")]
     Bind {
-        /// Address of the sockets.
+        /// Address of both sockets, for UDP and TCP.
         address: net::SocketAddr,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
--- a/src/spread/peers.rs
+++ b/src/spread/peers.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the others: where they are and which version each holds.
+//! What a node knows of other hosts: their availability zones and the versions they hold.
 
 use std::collections;
 use std::sync::Arc;
@@ -12,29 +12,29 @@
 use crate::version;
 use crate::view;
 
-/// What one host is known to hold and to have run.
+/// The versions that one host is known to hold and to have run.
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
-    /// Held when it was last heard of; lower again after a restart.
-    holds: version::Version,
-    /// The highest version ever heard from it.
-    ran: version::Version,
+struct PeerVersions {
+    /// Version in its last report; reset by a restart.
+    held: version::Version,
+    /// Highest version that it has ever reported.
+    highest: version::Version,
 }
 
-/// The other hosts as the distribution needs them.
+/// The live hosts, by zone, with the versions they reported.
 ///
-/// Invariant: `zone` holds this host.
+/// Invariant: `zone` contains this host.
 #[derive(Debug)]
 pub struct Peers {
     me: host::HostId,
     zone: Vec<host::HostId>,
     readers: Vec<host::HostId>,
     remote: Vec<host::HostId>,
-    known: collections::HashMap<host::HostId, Known>,
+    known: collections::HashMap<host::HostId, PeerVersions>,
 }
 
 impl Peers {
-    /// Nobody but this host.
+    /// Starts with this host alone.
     pub fn new(me: host::HostId) -> Self {
         Self {
             me,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Takes a new view; `zone` is this host's availability zone.
+    /// Applies a new view of the hosts; `zone` is this host's availability zone.
     pub fn update(&mut self, view: &Arc<view::View>, zone: &SmolStr) {
         let alive = view.hosts.iter().filter(|h| h.health == view::Health::Alive);
         let (near, far): (Vec<&view::Host>, Vec<&view::Host>) =
@@ -56,82 +56,82 @@
         self.known.retain(|&h, _| view.host(h).is_some());
     }
 
-    /// Takes note that `host` holds `version`.
-    pub fn heard(&mut self, host: host::HostId, version: version::Version) {
+    /// Records that `host` holds `version`.
+    pub fn record(&mut self, host: host::HostId, version: version::Version) {
         if host == self.me {
             return;
         }
         let known = self.known.entry(host).or_default();
-        known.holds = version;
-        known.ran = known.ran.max(version);
+        known.held = version;
+        known.highest = known.highest.max(version);
     }
 
-    /// Takes note that `host` starts and holds nothing.
+    /// Records that `host` has restarted and holds no version.
     pub fn restarted(&mut self, host: host::HostId) {
-        self.heard(host, version::Version::NONE);
+        self.record(host, version::Version::NONE);
     }
 
-    /// What `host` is known to hold.
-    pub fn holds(&self, host: host::HostId) -> version::Version {
-        self.known.get(&host).map(|k| k.holds).unwrap_or_default()
+    /// The version that `host` last reported.
+    pub fn held_by(&self, host: host::HostId) -> version::Version {
+        self.known.get(&host).map(|k| k.held).unwrap_or_default()
     }
 
-    /// The highest version ever heard from `host`.
-    pub fn ran(&self, host: host::HostId) -> version::Version {
-        self.known.get(&host).map(|k| k.ran).unwrap_or_default()
+    /// The highest version that `host` has ever reported, also before a restart.
+    pub fn highest_run(&self, host: host::HostId) -> version::Version {
+        self.known.get(&host).map(|k| k.highest).unwrap_or_default()
     }
 
-    /// The hosts of this zone that answer, this one included.
+    /// The live hosts of this zone, including this one.
     pub fn zone(&self) -> &[host::HostId] {
         &self.zone
     }
 
-    /// How many other hosts answer.
-    pub fn others(&self) -> usize {
+    /// Number of other live hosts.
+    pub fn other_count(&self) -> usize {
         self.zone.len() - 1 + self.remote.len()
     }
 
-    /// Whether `host` stands in another zone.
-    pub fn remote(&self, host: host::HostId) -> bool {
+    /// Whether `host` is live and in another zone.
+    pub fn in_other_zone(&self, host: host::HostId) -> bool {
         self.remote.contains(&host)
     }
 
-    /// This host's place among the readers of its zone; 0 follows the log.
+    /// This host's position in the order in which the zone's hosts read the log; 0 follows it.
     pub fn rank(&self) -> usize {
         self.readers.iter().position(|&h| h == self.me).unwrap_or_default()
     }
 
     /// The host that follows the log for this zone.
-    pub fn root(&self) -> host::HostId {
+    pub fn log_follower(&self) -> host::HostId {
         self.readers.first().copied().unwrap_or(self.me)
     }
 
-    /// A host other than `not` that is known to hold `version` or a newer one, this zone's first.
+    /// A random host not in `except` that holds `version` or a newer one, preferably of this zone.
     pub fn holder<R: rand::Rng>(
         &self,
         version: version::Version,
-        not: &[host::HostId],
+        except: &[host::HostId],
         rng: &mut R,
     ) -> Option<host::HostId> {
-        let fits = |h: &host::HostId| self.holds(*h) >= version && !not.contains(h);
+        let fits = |h: &host::HostId| self.held_by(*h) >= version && !except.contains(h);
         let near = self.zone.iter().copied().filter(|h| *h != self.me && fits(h)).choose(rng);
         near.or_else(|| self.remote.iter().copied().filter(|h| fits(h)).choose(rng))
     }
 
-    /// Up to `most` hosts to ask at start: this zone's readers, then others of this zone and of
-    /// other zones by turns.
-    pub fn ask<R: rand::Rng>(&self, most: usize, rng: &mut R) -> Vec<host::HostId> {
+    /// Up to `max` hosts to query at start: two readers of this zone, then random hosts,
+    /// alternately of this zone and of other zones.
+    pub fn query_targets<R: rand::Rng>(&self, max: usize, rng: &mut R) -> Vec<host::HostId> {
         let mut asked: Vec<host::HostId> =
             self.readers.iter().copied().filter(|&h| h != self.me).take(2).collect();
-        let near: Vec<host::HostId> = self.zone.sample(rng, most).copied().collect();
-        let far: Vec<host::HostId> = self.remote.sample(rng, most).copied().collect();
-        for index in 0..most {
+        let near: Vec<host::HostId> = self.zone.sample(rng, max).copied().collect();
+        let far: Vec<host::HostId> = self.remote.sample(rng, max).copied().collect();
+        for index in 0..max {
             asked.extend(near.get(index));
             asked.extend(far.get(index));
         }
         let mut seen = collections::HashSet::from([self.me]);
         asked.retain(|&h| seen.insert(h));
-        asked.truncate(most);
+        asked.truncate(max);
         asked
     }
 }
--- a/src/spread/pull.rs
+++ b/src/spread/pull.rs
@@ -1,4 +1,4 @@
-//! The one request for a newer version that a node has under way.
+//! The pull of a newer version from another host; a node has at most one in progress.
 
 use std::time;
 
@@ -9,70 +9,70 @@
 use crate::spread::message;
 use crate::version;
 
-/// Hosts remembered as tried for one version.
-const TRIED: usize = 8;
+/// Hosts remembered as tried without success for one version.
+const MAX_TRIED: usize = 8;
 
-/// Time that a transfer usually takes at most: 14 KB from a host with a tenth of a core. A host that
-/// has gone without a word holds one up for its whole limit of five seconds, in which newer versions
-/// were not asked for.
-const STALE: time::Duration = time::Duration::from_millis(500);
+/// Time after which a transfer no longer keeps this node from fetching from another host. It covers
+/// 14 KB from a host with a tenth of a core. A host that has crashed blocks a transfer until its
+/// limit of five seconds, and newer versions must not wait that long.
+const SLOW_TRANSFER_AFTER: time::Duration = time::Duration::from_millis(500);
 
-/// Doublings of the delay between tries.
-const BACKOFF: u32 = 2;
+/// Largest number of doublings of the delay between attempts.
+const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
-/// How far the request is.
+/// Progress of the pull.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
-    /// Nothing newer is known.
+    /// No pull is in progress.
     Idle,
-    /// `host` is asked when `due` has come.
+    /// A request to `host` will be sent at `due`.
     Planned {
-        /// Who will be asked.
+        /// The host to request from.
         host: host::HostId,
-        /// When.
+        /// When to send the request.
         due: clock::Instant,
     },
-    /// `host` was asked by a datagram.
-    Asked {
-        /// Who was asked.
+    /// A datagram has requested the version from `host`.
+    Requested {
+        /// The host requested from.
         host: host::HostId,
-        /// When another host is asked.
+        /// When the request times out and another host is tried.
         due: clock::Instant,
     },
-    /// A transfer from `host` is under way.
+    /// A transfer from `host` is in progress.
     Fetching {
-        /// Who serves it.
+        /// The serving host.
         host: host::HostId,
-        /// From when on another host that holds something newer is asked instead.
-        stale: clock::Instant,
-        /// When it is given up.
+        /// From when on a newer version may be fetched from another host instead.
+        slow_at: clock::Instant,
+        /// When the transfer times out.
         due: clock::Instant,
     },
 }
 
-/// The request for what others hold and this node does not.
+/// The pull of the newest version known to be held by another host.
 #[derive(Debug)]
 pub struct Pull {
     state: State,
     target: version::Version,
     tried: Vec<host::HostId>,
     failures: u32,
-    way: Option<(version::Version, message::Way)>,
+    forwarding: Option<(version::Version, message::Forwarding)>,
 }
 
 impl Pull {
-    /// Nothing to ask for.
+    /// No pull in progress.
     pub const fn new() -> Self {
         Self {
             state: State::Idle,
             target: version::Version::NONE,
             tried: Vec::new(),
             failures: 0,
-            way: None,
+            forwarding: None,
         }
     }
 
-    /// How far the request is.
+    /// Progress of the pull.
     pub const fn state(&self) -> State {
         self.state
     }
@@ -82,52 +82,56 @@
         self.target
     }
 
-    /// Hosts that were asked in vain.
+    /// Hosts from which pulls of the target version have failed.
     pub fn tried(&self) -> &[host::HostId] {
         &self.tried
     }
 
-    /// Takes note that some host holds `version`.
-    pub fn aim(&mut self, version: version::Version) {
+    /// Raises the target to `version`, which another host holds.
+    pub fn raise_target(&mut self, version: version::Version) {
         self.target = self.target.max(version);
     }
 
-    /// Remembers how `version` is to be passed on once it is held.
-    pub const fn remember(&mut self, version: version::Version, way: message::Way) {
-        self.way = Some((version, way));
+    /// Remembers whether to forward `version` once it is held.
+    pub const fn remember_forwarding(
+        &mut self,
+        version: version::Version,
+        forwarding: message::Forwarding,
+    ) {
+        self.forwarding = Some((version, forwarding));
     }
 
-    /// How `version` is to be passed on, if somebody pushed it.
-    pub fn way(&self, version: version::Version) -> Option<message::Way> {
-        let (pushed, way) = self.way?;
-        (pushed == version).then_some(way)
+    /// Whether to forward `version`; `None` unless it was pushed or announced.
+    pub fn forwarding(&self, version: version::Version) -> Option<message::Forwarding> {
+        let (pushed, forwarding) = self.forwarding?;
+        (pushed == version).then_some(forwarding)
     }
 
-    /// Plans to ask `host` within `longest` of now.
+    /// Plans a request to `host` after a random delay of up to `max_delay`.
     pub fn plan<R: rand::Rng>(
         &mut self,
         host: host::HostId,
-        longest: time::Duration,
+        max_delay: time::Duration,
         now: clock::Instant,
         rng: &mut R,
     ) {
-        let delay = longest.mul_f64(rng.random_range(0.0..1.0));
+        let delay = max_delay.mul_f64(rng.random_range(0.0..1.0));
         self.state = State::Planned { host, due: now + delay };
     }
 
-    /// `host` was asked.
-    pub const fn asked(&mut self, host: host::HostId, due: clock::Instant) {
-        self.state = State::Asked { host, due };
+    /// Records a request to `host` that times out at `due`.
+    pub const fn requested(&mut self, host: host::HostId, due: clock::Instant) {
+        self.state = State::Requested { host, due };
     }
 
-    /// A transfer from `host` was begun at `now`, which may take until `due`.
-    pub fn fetching(&mut self, host: host::HostId, now: clock::Instant, due: clock::Instant) {
-        self.state = State::Fetching { host, stale: now + STALE, due };
+    /// Records a transfer from `host` that began at `now` and times out at `due`.
+    pub fn fetch_started(&mut self, host: host::HostId, now: clock::Instant, due: clock::Instant) {
+        self.state = State::Fetching { host, slow_at: now + SLOW_TRANSFER_AFTER, due };
     }
 
-    /// `host` was asked in vain.
+    /// Records that the pull from `host` failed.
     pub fn failed(&mut self, host: host::HostId) {
-        if self.tried.len() >= TRIED {
+        if self.tried.len() >= MAX_TRIED {
             self.tried.remove(0);
         }
         self.tried.push(host);
@@ -135,19 +139,19 @@
         self.state = State::Idle;
     }
 
-    /// Longest delay before the next try when the first one is `shortest`.
-    pub fn backoff(&self, shortest: time::Duration) -> time::Duration {
-        shortest * (1 << self.failures.min(BACKOFF))
+    /// Maximum delay before the next attempt; doubles with each failure, from `first_delay` on.
+    pub fn max_delay(&self, first_delay: time::Duration) -> time::Duration {
+        first_delay * (1 << self.failures.min(MAX_BACKOFF_DOUBLINGS))
     }
 
-    /// Nobody is known any more who holds more than `held`.
+    /// Ends the pull because no host is known to hold a version newer than `held`.
     pub fn give_up(&mut self, held: version::Version) {
         self.target = held;
-        self.held(held);
+        self.version_held(held);
     }
 
-    /// `version` is held from now on.
-    pub fn held(&mut self, version: version::Version) {
+    /// Ends the pull if `version`, which is now held, reaches the target.
+    pub fn version_held(&mut self, version: version::Version) {
         if version >= self.target {
             self.state = State::Idle;
             self.tried.clear();
@@ -155,23 +159,23 @@
         }
     }
 
-    /// Whether a transfer from `host` is under way.
-    pub fn fetches(&self, from: host::HostId) -> bool {
+    /// Whether a transfer from `from` is in progress.
+    pub fn is_fetching_from(&self, from: host::HostId) -> bool {
         matches!(self.state, State::Fetching { host, .. } if host == from)
     }
 
-    /// Whether a transfer is under way that may still succeed soon.
+    /// Whether a transfer is in progress that is not slow yet.
     pub fn busy(&self, now: clock::Instant) -> bool {
-        matches!(self.state, State::Fetching { stale, .. } if now < stale)
+        matches!(self.state, State::Fetching { slow_at, .. } if now < slow_at)
     }
 
-    /// When something is due next.
+    /// When the next request or timeout is due.
     pub const fn due(&self) -> Option<clock::Instant> {
         match self.state {
             State::Idle => None,
-            State::Planned { due, .. } | State::Asked { due, .. } | State::Fetching { due, .. } => {
-                Some(due)
-            }
+            State::Planned { due, .. }
+            | State::Requested { due, .. }
+            | State::Fetching { due, .. } => Some(due),
         }
     }
 }
--- a/src/spread/push.rs
+++ b/src/spread/push.rs
@@ -1,4 +1,4 @@
-//! Pushes of the newest version that wait for an acknowledgement.
+//! Pushes of the newest version, and those among them that wait for an acknowledgement.
 
 use std::collections;
 use std::time;
@@ -8,7 +8,7 @@
 use crate::host;
 use crate::version;
 
-/// One push without an acknowledgement so far.
+/// A push that has not been acknowledged yet.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     host: host::HostId,
@@ -16,27 +16,27 @@
     due: clock::Instant,
 }
 
-/// What to do about a push whose time is over.
+/// What to do about a push that was not acknowledged in time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Overdue {
-    /// Send it again.
-    Again(host::HostId),
-    /// Give the host up and push to the hosts below it.
-    Adopt(host::HostId),
+    /// Send the push again.
+    Resend(host::HostId),
+    /// Give up on the host and push to its children in the tree.
+    PushToChildren(host::HostId),
 }
 
-/// The state of pushing one version.
+/// The pushes of one version by this node.
 ///
-/// Invariant: no host is pushed to twice by [`Push::add`] for the same version.
+/// Invariant: no host is pushed to twice by [`Push::record_push`] for the same version.
 #[derive(Debug)]
 pub struct Push {
     version: version::Version,
-    begun: bool,
+    forwarded: bool,
     pending: Vec<Pending>,
     pushed: collections::HashSet<host::HostId>,
-    grace: Option<clock::Instant>,
-    wait: time::Duration,
-    most: u8,
+    delayed_until: Option<clock::Instant>,
+    ack_timeout: time::Duration,
+    max_sends: u8,
 }
 
 impl Push {
@@ -44,96 +44,97 @@
     pub fn new(settings: &configs::spread::Spread) -> Self {
         Self {
             version: version::Version::NONE,
-            begun: false,
+            forwarded: false,
             pending: Vec::new(),
             pushed: collections::HashSet::new(),
-            grace: None,
-            wait: time::Duration::from_millis(settings.ack_ms),
-            most: settings.pushes,
+            delayed_until: None,
+            ack_timeout: time::Duration::from_millis(settings.ack_ms),
+            max_sends: settings.pushes,
         }
     }
 
-    /// Turns to `version`; whatever was pending is superseded.
+    /// Starts over with `version` and drops the pending pushes of the version before it.
     pub fn reset(&mut self, version: version::Version) {
         self.version = version;
-        self.begun = false;
+        self.forwarded = false;
         self.pending.clear();
         self.pushed.clear();
-        self.grace = None;
+        self.delayed_until = None;
     }
 
-    /// The version this is about.
+    /// The version that is pushed.
     pub const fn version(&self) -> version::Version {
         self.version
     }
 
-    /// Whether acknowledgements are asked of every host.
-    pub const fn acks(&self) -> bool {
-        !self.wait.is_zero()
+    /// Whether every push requests an acknowledgement.
+    pub const fn wants_acks(&self) -> bool {
+        !self.ack_timeout.is_zero()
     }
 
-    /// Whether nobody was pushed to so far.
-    pub fn first(&self) -> bool {
+    /// Whether the version has not been pushed to any host yet.
+    pub fn none_sent(&self) -> bool {
         self.pushed.is_empty()
     }
 
-    /// Waits until `until` for somebody else's push before this node starts its own.
-    pub const fn hold(&mut self, until: clock::Instant) {
-        self.grace = Some(until);
+    /// Delays this node's push until `until`, because another reader is expected to push first.
+    pub const fn delay_until(&mut self, until: clock::Instant) {
+        self.delayed_until = Some(until);
     }
 
-    /// Begins to pass the version on; false when that was done before.
-    pub const fn begin(&mut self) -> bool {
-        self.grace = None;
-        !std::mem::replace(&mut self.begun, true)
+    /// Marks the version as forwarded to this host's children; false when it was before.
+    pub const fn begin_forwarding(&mut self) -> bool {
+        self.delayed_until = None;
+        !std::mem::replace(&mut self.forwarded, true)
     }
 
-    /// Takes note of a push to `host`; false when there was one before.
-    pub fn add(&mut self, host: host::HostId, now: clock::Instant) -> bool {
+    /// Records a push to `host`; false when there was one before.
+    pub fn record_push(&mut self, host: host::HostId, now: clock::Instant) -> bool {
         if !self.pushed.insert(host) {
             return false;
         }
-        if self.acks() {
-            self.pending.push(Pending { host, sent: 1, due: now + self.wait });
+        if self.wants_acks() {
+            self.pending.push(Pending { host, sent: 1, due: now + self.ack_timeout });
         }
         true
     }
 
-    /// `host` holds `version`.
-    pub fn acked(&mut self, host: host::HostId, version: version::Version) {
+    /// Ends the wait for `host`, which holds `version`, if that is the version pushed or a newer
+    /// one.
+    pub fn acknowledged(&mut self, host: host::HostId, version: version::Version) {
         if version >= self.version {
             self.pending.retain(|p| p.host != host);
         }
     }
 
-    /// `host` is fetching the version: there is no need to push it again.
+    /// Ends the wait for `host`, which is fetching the version.
     pub fn fetched(&mut self, host: host::HostId) {
         self.pending.retain(|p| p.host != host);
     }
 
-    /// Whether the wait for somebody else's push is over.
-    pub fn lapsed(&self, now: clock::Instant) -> bool {
-        self.grace.is_some_and(|until| until <= now)
+    /// Whether a delayed push is due; see [`Push::delay_until`].
+    pub fn delay_over(&self, now: clock::Instant) -> bool {
+        self.delayed_until.is_some_and(|until| until <= now)
     }
 
-    /// The pushes whose time is over.
+    /// The pushes that were not acknowledged in time; each is rescheduled or given up.
     pub fn overdue(&mut self, now: clock::Instant) -> Vec<Overdue> {
         let mut list = Vec::new();
         for pending in self.pending.iter_mut().filter(|p| p.due <= now) {
-            if pending.sent >= self.most {
-                list.push(Overdue::Adopt(pending.host));
+            if pending.sent >= self.max_sends {
+                list.push(Overdue::PushToChildren(pending.host));
                 continue;
             }
             pending.sent += 1;
-            pending.due = now + self.wait * u32::from(pending.sent);
-            list.push(Overdue::Again(pending.host));
+            pending.due = now + self.ack_timeout * u32::from(pending.sent);
+            list.push(Overdue::Resend(pending.host));
         }
         self.pending.retain(|p| p.due > now);
         list
     }
 
-    /// When something is due next.
+    /// When the next push or timeout is due.
     pub fn due(&self) -> Option<clock::Instant> {
-        self.pending.iter().map(|p| p.due).chain(self.grace).min()
+        self.pending.iter().map(|p| p.due).chain(self.delayed_until).min()
     }
 }
--- a/src/spread/shell.rs
+++ b/src/spread/shell.rs
@@ -1,4 +1,5 @@
-//! The thread of the distribution duty: sockets, time and rings around the decisions.
+//! The distribution duty: connects the state machine of `decision` to sockets, the log, the clock
+//! and the rings of other duties.
 
 use std::collections;
 use std::future;
@@ -21,32 +22,32 @@
 use crate::spread;
 use crate::spread::decision;
 use crate::spread::message;
-use crate::spread::tail;
+use crate::spread::read_schedule;
 use crate::spread::transfer;
 use crate::spread::wire;
 use crate::traffic;
 use crate::view;
 
-/// Notes from the duty's own tasks that may wait; a full ring makes the tasks wait.
-const NOTES: usize = 64;
+/// Largest number of queued events from the duty's own tasks; when the queue is full, tasks wait.
+const MAX_PENDING_EVENTS: usize = 64;
 
-/// Connections open to this node at once, whoever opened them; more are closed.
-const CONNECTIONS: usize = 64;
+/// Largest number of open connections to this node; further ones are closed.
+const MAX_CONNECTIONS: usize = 64;
 
-/// Most records asked of the log in one read.
-const RECORDS: u32 = 64;
+/// Largest number of records in one read of the log.
+const MAX_READ_RECORDS: u32 = 64;
 
 /// Largest datagram received, in bytes.
-const DATAGRAM_BYTES: usize = 2048;
+const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// What joins the distribution duty to the others.
+/// Channels between the distribution duty and the other duties.
 #[derive(Debug)]
 pub struct Wiring<L> {
-    /// Where the configuration this node runs is put, whole.
+    /// Receives the complete configuration that this node runs.
     pub applied: watch::Sender<Arc<mesh::Applied>>,
     /// The known hosts.
     pub view: watch::Receiver<Arc<view::View>>,
-    /// From the membership duty: peers that run something else.
+    /// From the membership duty: peers that run another version.
     pub mismatches: ring::Receiver<member::VersionMismatch>,
     /// The platform's log.
     pub log: L,
@@ -56,19 +57,19 @@
     pub traffic: Arc<traffic::Traffic>,
 }
 
-/// What the duty's tasks tell its loop.
+/// What the duty's tasks send to its loop.
 #[derive(Debug)]
-enum Note {
+enum TaskEvent {
     Event(decision::Event),
-    Fetch { fetch: message::Fetch, reply: oneshot::Sender<message::Served> },
+    Fetch { fetch: message::Fetch, reply: oneshot::Sender<message::FetchReply> },
 }
 
-/// Runs the duty until the stage is [`node::Stage::End`]; spawns local tasks, so that it needs a
-/// `tokio::task::LocalSet` such as [`node::duty::Duty`] gives.
+/// Runs the duty until the stage is [`node::Stage::End`]. It spawns local tasks, so it must run in
+/// a `tokio::task::LocalSet`, as [`node::duty::Duty`] provides.
 ///
 /// # Errors
 ///
-/// Fails when the sockets can't be made.
+/// Fails when the sockets can't be bound.
 pub async fn run<L: logs::Service>(
     ctx: context::Context,
     settings: Arc<configs::Node>,
@@ -79,14 +80,14 @@
     let fault = |source| spread::Error::Bind { address, source };
     let socket = net::UdpSocket::bind(address).await.map_err(fault)?;
     let listener = net::TcpListener::bind(address).await.map_err(fault)?;
-    let (notes, inbox) = mpsc::channel(NOTES);
-    let link = transfer::Link {
+    let (events, inbox) = mpsc::channel(MAX_PENDING_EVENTS);
+    let transport = transfer::Transport {
         seal: wire::seal(&settings.mesh, &settings.key),
         traffic: Arc::clone(&wiring.traffic),
-        limit: time::Duration::from_millis(settings.spread.transfer_ms),
+        timeout: time::Duration::from_millis(settings.spread.transfer_ms),
     };
     let mut tasks = task::JoinSet::new();
-    tasks.spawn_local(listen(listener, link.clone(), notes.clone()));
+    tasks.spawn_local(listen(listener, transport.clone(), events.clone()));
     let identity = decision::Identity {
         host,
         zone: settings.zone.clone(),
@@ -99,9 +100,9 @@
     let shell = Shell {
         ctx,
         settings,
-        link,
+        transport,
         socket,
-        notes,
+        events,
         tasks,
         replies: collections::HashMap::new(),
         transfers: 0,
@@ -109,50 +110,50 @@
         applied: wiring.applied,
         log: wiring.log,
     };
-    shell.turn(inbox, wiring.view, wiring.mismatches, wiring.stage).await;
+    shell.run(inbox, wiring.view, wiring.mismatches, wiring.stage).await;
     Ok(())
 }
 
 struct Shell<L> {
     ctx: context::Context,
     settings: Arc<configs::Node>,
-    link: transfer::Link,
+    transport: transfer::Transport,
     socket: net::UdpSocket,
-    notes: mpsc::Sender<Note>,
+    events: mpsc::Sender<TaskEvent>,
     tasks: task::JoinSet<()>,
-    replies: collections::HashMap<decision::Transfer, oneshot::Sender<message::Served>>,
-    transfers: decision::Transfer,
+    replies: collections::HashMap<decision::TransferId, oneshot::Sender<message::FetchReply>>,
+    transfers: decision::TransferId,
     core: decision::Spread,
     applied: watch::Sender<Arc<mesh::Applied>>,
     log: L,
 }
 
 impl<L: logs::Service> Shell<L> {
-    async fn turn(
+    async fn run(
         mut self,
-        mut inbox: mpsc::Receiver<Note>,
+        mut inbox: mpsc::Receiver<TaskEvent>,
         mut view: watch::Receiver<Arc<view::View>>,
-        mut heard: ring::Receiver<member::VersionMismatch>,
+        mut mismatches: ring::Receiver<member::VersionMismatch>,
         mut stage: watch::Receiver<node::Stage>,
     ) {
-        let mut buffer = [0; DATAGRAM_BYTES];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
         view.mark_changed();
         loop {
             let wake = self.wake();
             let event = tokio::select! {
-                // A dropped sender means that the process ends, too.
+                // A dropped sender also means that the process ends.
                 _ = stage.wait_for(|&s| s == node::Stage::End) => return,
-                Some(note) = inbox.recv() => self.noted(note),
+                Some(event) = inbox.recv() => self.task_event(event),
                 Ok(()) = view.changed() => {
                     let view = Arc::clone(&view.borrow_and_update());
                     Some(decision::Event::View(view))
                 }
-                Some(heard) = heard.recv() => {
-                    let (host, version) = (heard.host, heard.version);
-                    Some(decision::Event::Heard { host, version })
+                Some(mismatch) = mismatches.recv() => {
+                    let (host, version) = (mismatch.host, mismatch.version);
+                    Some(decision::Event::VersionReported { host, version })
                 }
                 Ok((size, from)) = self.socket.recv_from(&mut buffer) => {
-                    self.datagram(&buffer[..size], from)
+                    self.receive(&buffer[..size], from)
                 }
                 () = sleep(wake) => Some(decision::Event::Tick),
                 Some(_) = self.tasks.join_next() => None,
@@ -165,13 +166,13 @@
 
     fn wake(&self) -> Option<time::Duration> {
         let now = self.ctx.now();
-        self.core.wake(now).map(|due: clock::Instant| due.since(now))
+        self.core.next_wake(now).map(|due: clock::Instant| due.since(now))
     }
 
-    fn noted(&mut self, note: Note) -> Option<decision::Event> {
-        match note {
-            Note::Event(event) => Some(event),
-            Note::Fetch { fetch, reply } => {
+    fn task_event(&mut self, event: TaskEvent) -> Option<decision::Event> {
+        match event {
+            TaskEvent::Event(event) => Some(event),
+            TaskEvent::Fetch { fetch, reply } => {
                 self.transfers += 1;
                 self.replies.insert(self.transfers, reply);
                 Some(decision::Event::Fetch { transfer: self.transfers, fetch })
@@ -179,10 +180,10 @@
         }
     }
 
-    fn datagram(&self, bytes: &[u8], from: std::net::SocketAddr) -> Option<decision::Event> {
-        let counts = self.link.traffic.of(traffic::Purpose::Spread);
+    fn receive(&self, bytes: &[u8], from: std::net::SocketAddr) -> Option<decision::Event> {
+        let counts = self.transport.traffic.of(traffic::Purpose::Spread);
         counts.received(bytes.len());
-        match wire::decode(&self.link.seal, bytes) {
+        match wire::decode(&self.transport.seal, bytes) {
             Ok(message::Envelope { host, datagram }) => {
                 let host = host.unwrap_or_else(|| host::HostId::of_spread(from));
                 Some(decision::Event::Datagram { host, datagram })
@@ -203,14 +204,14 @@
 
     fn perform(&mut self, action: decision::Action) {
         match action {
-            decision::Action::Answer { transfer, served } => self.answer(transfer, served),
+            decision::Action::Reply { transfer, reply } => self.reply(transfer, reply),
             decision::Action::Append(snapshot) => self.append(snapshot),
             decision::Action::Fetch { host, have } => self.fetch(host, have),
             decision::Action::Read(read) => self.read(read),
             decision::Action::Run(applied) => {
                 let version = applied.version_id.version.number();
                 let unix_millis = clock::Clock::unix_millis(&self.ctx.clock);
-                log::info!(version, unix_millis; "runs a new configuration");
+                log::info!(version, unix_millis; "applied a new configuration");
                 self.applied.send_replace(applied);
             }
             decision::Action::Send { host, datagram } => self.send(host, datagram),
@@ -222,30 +223,31 @@
         let push = matches!(datagram, message::Datagram::Push { .. });
         let sender = (!plain || !push).then(|| self.settings.host());
         let envelope = message::Envelope { host: sender, datagram };
-        let Ok(bytes) = wire::encode(&self.link.seal, &envelope) else { return };
-        // A datagram that can't be sent now is lost like any other and repaired like any other.
+        let Ok(bytes) = wire::encode(&self.transport.seal, &envelope) else { return };
+        // A datagram that can't be sent now is treated like one lost in the network: resends and
+        // pulls make up for it.
         if self.socket.try_send_to(&bytes, host.spread_addr()).is_ok() {
-            self.link.traffic.of(traffic::Purpose::Spread).sent(bytes.len());
+            self.transport.traffic.of(traffic::Purpose::Spread).sent(bytes.len());
         }
     }
 
-    fn answer(&mut self, transfer: decision::Transfer, served: message::Served) {
-        let ends = matches!(served, message::Served::Parcel(_));
-        let Some(reply) = self.replies.remove(&transfer) else { return };
-        if reply.send(served).is_err() && ends {
-            self.step(decision::Event::Ended);
+    fn reply(&mut self, transfer: decision::TransferId, reply: message::FetchReply) {
+        let counted = matches!(reply, message::FetchReply::Update(_));
+        let Some(sender) = self.replies.remove(&transfer) else { return };
+        if sender.send(reply).is_err() && counted {
+            self.step(decision::Event::TransferSent);
         }
     }
 
     fn fetch(&mut self, host: host::HostId, have: crate::version::Version) {
-        let (link, notes) = (self.link.clone(), self.notes.clone());
+        let (transport, events) = (self.transport.clone(), self.events.clone());
         let fetch = message::Fetch { host: self.settings.host(), have };
         self.tasks.spawn_local(async move {
-            let result = transfer::fetch(&link, host.spread_addr(), &fetch).await;
+            let result = transfer::fetch(&transport, host.spread_addr(), &fetch).await;
             let served =
-                result.map_err(|error| log::info!(error:% = error; "no transfer from {host}"));
+                result.map_err(|error| log::info!(error:% = error; "transfer from {host} failed"));
             let event = decision::Event::Fetched { host, served: served.ok() };
-            let _ = notes.send(Note::Event(event)).await;
+            let _ = events.send(TaskEvent::Event(event)).await;
         });
     }
 
@@ -253,22 +255,23 @@
         let log = self.log.clone();
         let limit = time::Duration::from_millis(self.settings.log.append_ms);
         self.tasks.spawn_local(async move {
-            // Whether it took effect shows when it is read; the policy tries again if not.
+            // The read of the log shows whether the append took effect; if not, the snapshot policy
+            // tries again.
             let append = log.append(logs::streams::CONFIG, snapshot);
             match tokio::time::timeout(limit, append).await {
                 Ok(Ok(offset)) => log::info!(offset; "appended a snapshot"),
                 Ok(Err(error)) => log::warn!(error:% = error; "could not append a snapshot"),
-                Err(_) => log::warn!("the log did not answer in time to a snapshot"),
+                Err(_) => log::warn!("timed out appending a snapshot to the log"),
             }
         });
     }
 
-    fn read(&mut self, read: tail::Read) {
-        let (log, notes) = (self.log.clone(), self.notes.clone());
+    fn read(&mut self, read: read_schedule::Read) {
+        let (log, events) = (self.log.clone(), self.events.clone());
         let limit = read.wait + time::Duration::from_millis(self.settings.log.append_ms);
         let clock = self.ctx.clock;
         self.tasks.spawn_local(async move {
-            let batch = log.read(logs::streams::CONFIG, read.from, RECORDS, read.wait);
+            let batch = log.read(logs::streams::CONFIG, read.from, MAX_READ_RECORDS, read.wait);
             let batch = match tokio::time::timeout(limit, batch).await {
                 Ok(Ok(batch)) => Some(batch),
                 Ok(Err(error)) => {
@@ -279,7 +282,7 @@
             };
             let unix_millis = clock::Clock::unix_millis(&clock);
             let event = decision::Event::Read { batch, unix_millis };
-            let _ = notes.send(Note::Event(event)).await;
+            let _ = events.send(TaskEvent::Event(event)).await;
         });
     }
 }
@@ -291,16 +294,20 @@
     }
 }
 
-async fn listen(listener: net::TcpListener, link: transfer::Link, notes: mpsc::Sender<Note>) {
+async fn listen(
+    listener: net::TcpListener,
+    transport: transfer::Transport,
+    events: mpsc::Sender<TaskEvent>,
+) {
     let mut tasks = task::JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
-                Ok((stream, _)) if tasks.len() < CONNECTIONS => {
-                    tasks.spawn_local(serve(stream, link.clone(), notes.clone()));
+                Ok((stream, _)) if tasks.len() < MAX_CONNECTIONS => {
+                    tasks.spawn_local(serve(stream, transport.clone(), events.clone()));
                 }
                 Ok(_) => {}
-                // Out of file descriptors, most likely: let others end first.
+                // Most likely out of file descriptors: wait until other connections close.
                 Err(_) => tokio::time::sleep(time::Duration::from_millis(100)).await,
             },
             Some(_) = tasks.join_next() => {}
@@ -308,19 +315,23 @@
     }
 }
 
-async fn serve(stream: net::TcpStream, link: transfer::Link, notes: mpsc::Sender<Note>) {
-    let Ok((fetch, frames)) = transfer::request(&link, stream).await else { return };
-    let (reply, answer) = oneshot::channel();
-    if notes.send(Note::Fetch { fetch, reply }).await.is_err() {
+async fn serve(
+    stream: net::TcpStream,
+    transport: transfer::Transport,
+    events: mpsc::Sender<TaskEvent>,
+) {
+    let Ok((fetch, frames)) = transfer::request(&transport, stream).await else { return };
+    let (reply, receiver) = oneshot::channel();
+    if events.send(TaskEvent::Fetch { fetch, reply }).await.is_err() {
         return;
     }
-    let Ok(served) = answer.await else { return };
-    let ends = matches!(served, message::Served::Parcel(_));
-    let sent = transfer::answer(&link, frames, &served).await;
+    let Ok(served) = receiver.await else { return };
+    let counted = matches!(served, message::FetchReply::Update(_));
+    let sent = transfer::answer(&transport, frames, &served).await;
     if let Err(error) = sent {
-        log::info!(error:% = error; "a transfer was cut short");
+        log::info!(error:% = error; "could not send the reply to a transfer");
     }
-    if ends {
-        let _ = notes.send(Note::Event(decision::Event::Ended)).await;
+    if counted {
+        let _ = events.send(TaskEvent::Event(decision::Event::TransferSent)).await;
     }
 }
--- a/src/spread/start.rs
+++ b/src/spread/start.rs
@@ -1,5 +1,5 @@
-//! Start of a node: it finds out what the mesh runs, and what it ran itself in an earlier life,
-//! before it runs anything.
+//! Start of a node: before it runs any version, it finds out which one the mesh runs and which one
+//! it ran itself before its restart.
 
 use std::time;
 
@@ -9,67 +9,68 @@
 use crate::configs;
 use crate::version;
 
-/// Longest wait for the first other host when some are configured.
-const JOIN: time::Duration = time::Duration::from_secs(3);
+/// Longest wait for the first other host when the settings name hosts to join through.
+const MAX_JOIN_WAIT: time::Duration = time::Duration::from_secs(3);
 
-/// Added to the random delay of a start for every other host, so that a herd spreads its requests.
+/// Share of each other host in the longest random delay of a start, so that the requests of many
+/// hosts that start at once are spread over time.
 const DELAY_PER_HOST: time::Duration = time::Duration::from_millis(1);
 
-/// What happens during the start.
+/// An input of the start's state machine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// The log's tail names a version newer than what is held.
+    /// The log's tail names a version newer than the one held.
     Behind,
     /// The log's tail was read, and nothing newer was found.
     Confirmed,
-    /// The log could not be read, or does not tell.
+    /// The log could not be read, or its tail does not tell whether there is a newer version.
     Failed,
-    /// Time has passed, or one of the facts has changed.
+    /// A time limit may have passed, or one of the facts has changed.
     Tick,
-    /// A host that was asked has answered.
-    Told,
+    /// A queried host has answered.
+    Answered,
 }
 
-/// What the start depends on.
+/// The state of the node that the start's decisions depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct Facts {
-    /// The current instant.
+    /// Time since the start, as an instant after [`clock::Instant::ZERO`].
     pub now: clock::Instant,
-    /// How many other hosts answer.
-    pub others: usize,
-    /// What this host holds.
+    /// Number of other live hosts.
+    pub other_hosts: usize,
+    /// The version that this host holds.
     pub held: version::Version,
-    /// The highest version told by the hosts asked.
-    pub told: version::Version,
-    /// Whether this host reads the log for its zone.
-    pub reader: bool,
+    /// The highest version reported by the queried hosts or the log's tail.
+    pub reported: version::Version,
+    /// Whether this host is one of its zone's readers.
+    pub is_reader: bool,
 }
 
-/// What the node does while it starts.
+/// The phases of the start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Phase {
-    /// Waits for the first other host.
+    /// Waits for the first other host, and then a random delay.
     Joining,
-    /// Asks a few hosts what the mesh runs.
+    /// Queries a few hosts for the version that the mesh runs.
     Asking,
-    /// Waits for the version that was told.
+    /// Waits until it holds the version that was reported.
     Fetching,
-    /// Nobody holds a version; waits for this zone's readers.
+    /// No queried host holds a version: waits for this zone's readers to push one.
     Waiting,
-    /// Reads the log's tail.
+    /// Reads the log to check that no newer version exists.
     Confirming,
-    /// The log can't be read: asks more hosts.
-    Widening,
-    /// Has started.
-    Settled,
+    /// The log could not confirm the version: queries more hosts.
+    AskingMore,
+    /// The start is complete.
+    Started,
 }
 
-/// Limits of the start.
+/// Limits and random share of one node's start.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Whether other hosts are configured to join through.
+    /// Whether the settings name hosts to join through.
     pub join: bool,
-    /// Fraction of the random delay this node takes, from 0 to 1.
+    /// This node's random fraction of the maximum delays, from 0 to 1.
     pub share: f64,
     ask: usize,
     settle: time::Duration,
@@ -78,7 +79,7 @@
 }
 
 impl Limits {
-    /// The limits of `settings`.
+    /// The limits that `settings` give.
     pub const fn new(settings: &configs::spread::Spread, join: bool, share: f64) -> Self {
         Self {
             join,
@@ -90,13 +91,13 @@
         }
     }
 
-    fn wait(&self) -> time::Duration {
+    fn readers_wait(&self) -> time::Duration {
         self.confirm.mul_f64(1.0 + self.share)
     }
 
-    fn delay(&self, others: usize) -> time::Duration {
-        let herd = DELAY_PER_HOST * u32::try_from(others).unwrap_or(u32::MAX);
-        self.settle.max(herd).mul_f64(self.share)
+    fn initial_delay(&self, other_hosts: usize) -> time::Duration {
+        let spread_out = DELAY_PER_HOST * u32::try_from(other_hosts).unwrap_or(u32::MAX);
+        self.settle.max(spread_out).mul_f64(self.share)
     }
 }
 
@@ -115,12 +116,12 @@
 impl Start {
     #[state]
     fn joining(&mut self, facts: &mut Facts) -> Outcome<State> {
-        let since = facts.now.since(clock::Instant::ZERO);
-        if facts.others > 0 && since >= self.limits.delay(facts.others) {
-            return Transition(self.ask(facts));
+        let elapsed = facts.now.since(clock::Instant::ZERO);
+        if facts.other_hosts > 0 && elapsed >= self.limits.initial_delay(facts.other_hosts) {
+            return Transition(self.begin_asking(facts));
         }
-        if !self.limits.join || since >= JOIN {
-            return Transition(self.confirm(facts));
+        if !self.limits.join || elapsed >= MAX_JOIN_WAIT {
+            return Transition(self.begin_confirming(facts));
         }
         Handled
     }
@@ -132,16 +133,16 @@
         event: &Event,
         facts: &mut Facts,
     ) -> Outcome<State> {
-        if !self.answered(*until, event, facts, self.limits.ask) {
+        if !self.enough_answers(*until, event, facts, self.limits.ask) {
             return Handled;
         }
-        if facts.told > facts.held {
+        if facts.reported > facts.held {
             return Transition(State::fetching(facts.now + self.limits.fetch, true));
         }
-        if facts.held == version::Version::NONE && !facts.reader {
-            return Transition(State::waiting(facts.now + self.limits.wait()));
+        if facts.held == version::Version::NONE && !facts.is_reader {
+            return Transition(State::waiting(facts.now + self.limits.readers_wait()));
         }
-        Transition(self.confirm(facts))
+        Transition(self.begin_confirming(facts))
     }
 
     #[state]
@@ -151,12 +152,12 @@
         confirm: &bool,
         facts: &mut Facts,
     ) -> Outcome<State> {
-        if facts.held < facts.told && facts.now < *until {
+        if facts.held < facts.reported && facts.now < *until {
             return Handled;
         }
         match confirm {
-            true => Transition(self.confirm(facts)),
-            false => Transition(State::settled()),
+            true => Transition(self.begin_confirming(facts)),
+            false => Transition(State::started()),
         }
     }
 
@@ -165,7 +166,7 @@
         if facts.held == version::Version::NONE && facts.now < *until {
             return Handled;
         }
-        Transition(self.confirm(facts))
+        Transition(self.begin_confirming(facts))
     }
 
     #[state]
@@ -179,80 +180,80 @@
             Event::Behind => {
                 return Transition(State::fetching(facts.now + self.limits.fetch, false));
             }
-            Event::Confirmed => return Transition(State::settled()),
+            Event::Confirmed => return Transition(State::started()),
             Event::Failed => {}
-            Event::Tick | Event::Told if facts.now < *until => return Handled,
-            Event::Tick | Event::Told => {}
+            Event::Tick | Event::Answered if facts.now < *until => return Handled,
+            Event::Tick | Event::Answered => {}
         }
-        if facts.others == 0 {
-            return Transition(State::settled());
+        if facts.other_hosts == 0 {
+            return Transition(State::started());
         }
         self.answers = 0;
-        Transition(State::widening(facts.now + self.limits.settle))
+        Transition(State::asking_more(facts.now + self.limits.settle))
     }
 
     #[state]
-    fn widening(
+    fn asking_more(
         &mut self,
         until: &clock::Instant,
         event: &Event,
         facts: &mut Facts,
     ) -> Outcome<State> {
         if *event == Event::Confirmed {
-            return Transition(State::settled());
+            return Transition(State::started());
         }
-        if !self.answered(*until, event, facts, wide(self.limits.ask)) {
+        if !self.enough_answers(*until, event, facts, wider_query(self.limits.ask)) {
             return Handled;
         }
         Transition(State::fetching(facts.now + self.limits.fetch, false))
     }
 
     #[state]
-    fn settled() -> Outcome<State> {
+    fn started() -> Outcome<State> {
         Handled
     }
 }
 
 impl Start {
-    fn ask(&mut self, facts: &Facts) -> State {
+    fn begin_asking(&mut self, facts: &Facts) -> State {
         self.answers = 0;
         State::asking(facts.now + self.limits.settle)
     }
 
-    fn confirm(&self, facts: &Facts) -> State {
+    fn begin_confirming(&self, facts: &Facts) -> State {
         State::confirming(facts.now + self.limits.confirm)
     }
 
-    fn answered(
+    fn enough_answers(
         &mut self,
         until: clock::Instant,
         event: &Event,
         facts: &Facts,
-        asked: usize,
+        queried: usize,
     ) -> bool {
-        if *event == Event::Told {
+        if *event == Event::Answered {
             self.answers += 1;
         }
-        self.answers >= asked.min(facts.others) || facts.now >= until
+        self.answers >= queried.min(facts.other_hosts) || facts.now >= until
     }
 }
 
-const fn wide(ask: usize) -> usize {
+const fn wider_query(ask: usize) -> usize {
     ask * 2
 }
 
-/// The start of one node, with its current phase.
+/// State machine of one node's start.
 pub struct Machine {
     inner: statig::blocking::StateMachine<Start>,
 }
 
 impl Machine {
-    /// A start at the origin of `limits`' clock; see [`Facts::now`].
+    /// A start in its first phase, at which [`Facts::now`] counts from zero.
     pub fn new(limits: Limits) -> Self {
         Self { inner: Start { limits, answers: 0 }.state_machine() }
     }
 
-    /// Takes an event and gives the phase that holds from now on.
+    /// Handles an event and returns the phase it leads to.
     pub fn handle(&mut self, event: Event, mut facts: Facts) -> Phase {
         self.inner.handle_with_context(&event, &mut facts);
         self.phase()
@@ -266,16 +267,16 @@
             State::Fetching { .. } => Phase::Fetching,
             State::Waiting { .. } => Phase::Waiting,
             State::Confirming { .. } => Phase::Confirming,
-            State::Widening { .. } => Phase::Widening,
-            State::Settled {} => Phase::Settled,
+            State::AskingMore { .. } => Phase::AskingMore,
+            State::Started {} => Phase::Started,
         }
     }
 
-    /// How many hosts are asked in the current phase.
-    pub fn asked(&self) -> usize {
+    /// Number of hosts to query in the current phase.
+    pub fn query_count(&self) -> usize {
         match self.phase() {
             Phase::Asking => self.inner.limits.ask,
-            Phase::Widening => wide(self.inner.limits.ask),
+            Phase::AskingMore => wider_query(self.inner.limits.ask),
             _ => 0,
         }
     }
--- a/src/spread/tests/faults.rs
+++ b/src/spread/tests/faults.rs
@@ -1,12 +1,12 @@
-//! Fleets under faults, in virtual time. What must always hold is checked on every step by the
-//! network itself.
+//! Fleets under faults, in virtual time. The simulation checks the invariants at every step; see
+//! `net`.
 
 use std::time;
 
 use rstest::rstest;
 
 use crate::configs;
-use crate::spread::tail;
+use crate::spread::read_schedule;
 use crate::spread::tests::files;
 use crate::spread::tests::fleet::{self, SECOND};
 use crate::spread::tests::net;
@@ -20,12 +20,14 @@
     let zone = net.zone(node);
     (0..net.nodes.len())
         .filter(|&n| net.zone(n) == zone)
-        .find(|&n| net.nodes[n].core.as_ref().is_some_and(|c| c.role() == tail::Role::Follow))
+        .find(|&n| {
+            net.nodes[n].core.as_ref().is_some_and(|c| c.role() == read_schedule::Role::Follow)
+        })
         .expect("a zone has a follower")
 }
 
 #[rstest]
-fn a_fifth_of_datagrams_lost_and_a_third_restarting(
+fn a_version_reaches_all_despite_lost_datagrams_and_restarts(
     #[values(0, 1)] preset: usize,
     #[values(11, 12, 13)] seed: u64,
 ) {
@@ -35,11 +37,11 @@
         net.kill(node);
     }
     let version = net.publish(&fleet::file(1));
-    net.pass(time::Duration::from_millis(50));
+    net.advance(time::Duration::from_millis(50));
     for node in (0..60).step_by(3) {
         net.start(node);
     }
-    let took = net.until(SECOND * 13, |n| n.all_run(version));
+    let took = net.run_until(SECOND * 13, |n| n.all_run(version));
     assert!(took.is_some(), "{}", net.behind(version));
 }
 
@@ -48,82 +50,84 @@
     let (mut net, first) = fleet::started(2, 12, presets()[preset].clone(), 21);
     let version = net.publish(&fleet::file(1));
     assert!(version > first);
-    assert!(net.until(SECOND * 3, |n| n.all_run(version)).is_some());
+    assert!(net.run_until(SECOND * 3, |n| n.all_run(version)).is_some());
     net.source.up = false;
-    net.wake_waits();
+    net.wake_readers();
     (0..24).step_by(3).for_each(|n| net.kill(n));
-    net.pass(SECOND);
+    net.advance(SECOND);
     (0..24).step_by(3).for_each(|n| net.start(n));
     net.add(1);
-    assert!(net.until(SECOND * 8, |n| n.all_run(version)).is_some());
-    net.pass(SECOND * 20);
+    assert!(net.run_until(SECOND * 8, |n| n.all_run(version)).is_some());
+    net.advance(SECOND * 20);
     net.source.up = true;
     let next = net.publish(&fleet::file(2));
-    assert!(net.until(SECOND * 8, |n| n.all_run(next)).is_some());
+    assert!(net.run_until(SECOND * 8, |n| n.all_run(next)).is_some());
 }
 
 #[rstest]
 fn a_restarted_node_learns_from_few_peers_what_it_ran(#[values(31, 32, 33, 34)] seed: u64) {
     let settings = configs::spread::Spread::cascadia();
     let (mut net, _) = fleet::started(2, 12, settings, seed);
-    // Only the follower of one zone reads the next version, and its zone is cut off the others.
+    // Only the follower of one zone can read the next version.
     let follower = follower(&net, 0);
     net.without_log = (0..24).filter(|&n| n != follower).collect();
     let version = net.publish(&fleet::file(1));
-    net.until(SECOND, |n| n.nodes[follower].running.version == version).expect("it runs");
+    net.run_until(SECOND, |n| n.nodes[follower].running.version == version).expect("it runs");
     net.source.up = false;
-    net.wake_waits();
+    net.wake_readers();
     net.kill(follower);
-    net.pass(time::Duration::from_millis(100));
+    net.advance(time::Duration::from_millis(100));
     net.start(follower);
-    assert!(net.until(SECOND * 10, |n| n.all_run(version)).is_some());
+    assert!(net.run_until(SECOND * 10, |n| n.all_run(version)).is_some());
 }
 
 #[rstest]
-fn a_version_accepted_while_the_regions_are_apart(#[values(0, 1)] preset: usize) {
+fn a_version_accepted_while_regions_are_cut_off_reaches_all_afterwards(
+    #[values(0, 1)] preset: usize,
+) {
     let (mut net, first) = fleet::started(4, 10, presets()[preset].clone(), 41);
     // The log stands in the first region.
-    net.join(false);
+    net.set_joined(false);
     net.without_log = (20..40).collect();
-    net.pass(SECOND * 10);
+    net.advance(SECOND * 10);
     let version = net.publish(&fleet::file(1));
-    net.pass(SECOND * 10);
+    net.advance(SECOND * 10);
     let runs = |net: &net::Net, n: usize| net.nodes[n].running.version;
     assert!((0..20).all(|n| runs(&net, n) == version));
     assert!((20..40).all(|n| runs(&net, n) == first));
-    net.join(true);
-    assert!(net.until(SECOND * 8, |n| n.all_run(version)).is_some());
+    net.set_joined(true);
+    assert!(net.run_until(SECOND * 8, |n| n.all_run(version)).is_some());
 }
 
 #[test]
 fn a_zone_without_the_log_is_served_by_the_others() {
     let (mut net, _) = fleet::started(4, 15, configs::spread::Spread::cascadia(), 42);
     net.without_log = (0..15).collect();
-    net.pass(SECOND * 15);
+    net.advance(SECOND * 15);
     let version = net.publish(&fleet::file(1));
-    assert!(net.until(SECOND * 3, |n| n.all_run(version)).is_some());
+    assert!(net.run_until(SECOND * 3, |n| n.all_run(version)).is_some());
 }
 
 #[test]
-fn a_node_that_joins_after_the_record_has_expired() {
+fn a_node_that_joins_after_the_record_has_expired_gets_the_version() {
     let (mut net, version) = fleet::started(2, 6, configs::spread::Spread::cascadia(), 51);
-    net.source.expire();
+    net.source.expire_all();
     let late = net.add(0);
-    assert!(net.until(SECOND * 8, |n| n.nodes[late].running.version == version).is_some());
+    assert!(net.run_until(SECOND * 8, |n| n.nodes[late].running.version == version).is_some());
 }
 
 #[test]
 fn readers_append_the_state_before_it_expires() {
     let (mut net, version) = fleet::started(2, 6, configs::spread::Spread::cascadia(), 52);
-    net.pass(SECOND * 3600 * 13);
+    net.advance(SECOND * 3600 * 13);
     let appended = net.source.next() - version.number();
     assert!((1..=4).contains(&appended), "{appended} snapshots");
-    // Nobody is left, and all but the snapshots has expired.
-    net.source.cut(version.number());
+    // No process is left, and all records except the snapshots have expired.
+    net.source.expire_before(version.number());
     (0..12).for_each(|n| net.kill(n));
-    net.pass(SECOND * 5);
+    net.advance(SECOND * 5);
     (0..12).for_each(|n| net.start(n));
-    assert!(net.until(SECOND * 10, |n| n.all_run(version)).is_some());
+    assert!(net.run_until(SECOND * 10, |n| n.all_run(version)).is_some());
 }
 
 #[rstest]
@@ -132,27 +136,27 @@
     let paused = [follower(&net, 0), follower(&net, 12)];
     paused.iter().for_each(|&n| net.pause(n));
     let version = net.publish(&fleet::file(1));
-    // Before anybody knows that the followers are paused.
-    assert!(net.until(SECOND * 3, |n| n.all_run(version)).is_some());
+    // Membership has not detected yet that the followers are paused.
+    assert!(net.run_until(SECOND * 3, |n| n.all_run(version)).is_some());
     let next = net.publish(&fleet::file(2));
     paused.iter().for_each(|&n| net.resume(n));
-    assert!(net.until(SECOND * 5, |n| n.all_run(next)).is_some());
+    assert!(net.run_until(SECOND * 5, |n| n.all_run(next)).is_some());
 }
 
 #[rstest]
-fn a_storm_of_restarts_is_bounded(#[values(0, 1)] preset: usize) {
+fn restarts_of_many_nodes_cost_a_bounded_number_of_transfers(#[values(0, 1)] preset: usize) {
     let settings = presets()[preset].clone();
     let (mut net, _) = fleet::started(2, 45, settings.clone(), 71);
     let version = net.publish(&files::valid(1, 500));
-    assert!(net.until(SECOND * 8, |n| n.all_run(version)).is_some());
-    net.pass(SECOND * 5);
+    assert!(net.run_until(SECOND * 8, |n| n.all_run(version)).is_some());
+    net.advance(SECOND * 5);
     let before = net.counts;
     (0..90).step_by(3).for_each(|n| net.kill(n));
-    net.pass(SECOND);
+    net.advance(SECOND);
     (0..90).step_by(3).for_each(|n| net.start(n));
-    assert!(net.until(SECOND * 13, |n| n.all_run(version)).is_some());
+    assert!(net.run_until(SECOND * 13, |n| n.all_run(version)).is_some());
     let after = net.counts;
-    assert!(after.most <= u64::from(settings.transfers), "{after:?}");
+    assert!(after.max_serving <= u64::from(settings.transfers), "{after:?}");
     let transfers = after.transfers - before.transfers;
     assert!((30..=45).contains(&transfers), "{transfers} transfers for 30 nodes");
     let reads = after.reads - before.reads;
@@ -163,8 +167,8 @@
 fn a_fleet_that_starts_as_one_reads_the_log_a_few_times() {
     let mut net = net::Net::new(4, 50, configs::spread::Spread::cascadia(), 81);
     let version = net.publish(&fleet::file(0));
-    assert!(net.until(SECOND * 13, |n| n.all_run(version)).is_some());
-    // Every node looks at the tail once; only readers get the file.
+    assert!(net.run_until(SECOND * 13, |n| n.all_run(version)).is_some());
+    // Every node checks the tail once; only readers get the file.
     let size = net.source.read(0).records.iter().map(|r| r.body.len() as u64).sum::<u64>();
     assert!(net.counts.read_bytes <= 16 * size, "{:?}, a record has {size}", net.counts);
 }
--- a/src/spread/tests/files.rs
+++ b/src/spread/tests/files.rs
@@ -1,8 +1,8 @@
-//! Valid configurations of a wanted size.
+//! Configuration files of a given size for tests.
 
 use serde_json::json;
 
-/// A valid configuration of `services` services that differs by `tag` in one limit.
+/// A valid configuration with `services` services; `tag` sets one service's time-out.
 pub fn valid(tag: u64, services: u64) -> Vec<u8> {
     let changed = tag % services;
     let limit = |n: u64| 1000 + if n == changed { tag } else { 0 };
@@ -18,7 +18,7 @@
     file.to_string().into_bytes()
 }
 
-/// A file that breaks the rules: its route leads to a service that is not there.
+/// An invalid file: its route refers to a service that does not exist.
 pub fn dangling() -> Vec<u8> {
     let file = json!({
         "format": 1,
@@ -31,7 +31,7 @@
 }
 
 fn service(number: u64, timeout: u64) -> serde_json::Value {
-    // Digits that compress badly, as names do.
+    // Pseudo-random digits, which compress as badly as real names.
     let name = format!("service-{number}-{:x}", number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     json!({
         "name": name,
--- a/src/spread/tests/fleet.rs
+++ b/src/spread/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets that the tests start from.
+//! Set-up of the fleets that tests start from.
 
 use std::time;
 
@@ -6,15 +6,14 @@
 use crate::spread::tests::{files, net};
 use crate::version;
 
-/// One second.
 pub const SECOND: time::Duration = time::Duration::from_secs(1);
 
-/// A valid configuration that differs by `tag`.
+/// A valid configuration of a few services; each `tag` gives another one.
 pub fn file(tag: u64) -> Vec<u8> {
     files::valid(tag, 12)
 }
 
-/// A fleet that runs its first version.
+/// A fleet of which every node runs the first version.
 pub fn started(
     zones: u8,
     hosts: u8,
@@ -24,8 +23,8 @@
     let mut net = net::Net::new(zones, hosts, settings, seed);
     let version = net.publish(&file(0));
     assert!(version > version::Version::NONE, "the first version is accepted");
-    let took = net.until(SECOND * 20, |n| n.all_run(version));
+    let took = net.run_until(SECOND * 20, |n| n.all_run(version));
     assert!(took.is_some(), "the first version reaches all");
-    net.pass(SECOND * 5);
+    net.advance(SECOND * 5);
     (net, version)
 }
--- a/src/spread/tests/net.rs
+++ b/src/spread/tests/net.rs
@@ -1,6 +1,7 @@
-//! A small network, log and membership in memory and in virtual time, for the decisions' tests.
+//! Simulation of a fleet in virtual time: nodes' state machines with a network, log and membership
+//! in memory.
 //!
-//! Every step checks what must always hold; see [`Net::check`].
+//! Every applied configuration is checked against the invariants; see [`Net::check`].
 
 use std::cmp;
 use std::collections;
@@ -17,8 +18,8 @@
 use crate::configs;
 use crate::host;
 use crate::mesh;
-use crate::spread::decision::{Action, Event, Identity, Spread, Transfer};
-use crate::spread::tail;
+use crate::spread::decision::{Action, Event, Identity, Spread, TransferId};
+use crate::spread::read_schedule;
 use crate::spread::tests::source;
 use crate::version;
 use crate::view;
@@ -26,17 +27,17 @@
 mod links;
 
 /// Time between two probes of one node.
-const PROBE: time::Duration = time::Duration::from_secs(1);
-/// Time until the death of a host is known to all.
-const DETECT: time::Duration = time::Duration::from_secs(3);
+const PROBE_INTERVAL: time::Duration = time::Duration::from_secs(1);
+/// Time until a crash, a pause or a cut between regions shows in all views.
+const DETECTION_TIME: time::Duration = time::Duration::from_secs(3);
 
-/// Something that happens at its time.
+/// A scheduled step of the simulation.
 #[derive(Debug)]
 enum Item {
-    Event { node: usize, life: u64, event: Event },
+    Event { node: usize, incarnation: u64, event: Event },
     Probe { node: usize },
     Tick { node: usize },
-    Unwait { node: usize, ticket: u64 },
+    EndWait { node: usize, ticket: u64 },
     Views,
 }
 
@@ -66,21 +67,21 @@
     }
 }
 
-/// One host.
+/// A simulated host with its process.
 pub struct Node {
-    /// Its identity.
+    /// Id of the host.
     pub id: host::HostId,
-    /// Where it stands.
+    /// Region and zone of the host.
     pub locality: Arc<view::Locality>,
-    /// Its decisions, while its process lives.
+    /// State machine of the process; `None` while no process runs.
     pub core: Option<Spread>,
-    /// What it runs.
+    /// The version that the process runs.
     pub running: version::VersionId,
-    /// The highest version any of its lives has run.
+    /// The highest version that any process of the host has run.
     pub ran: version::Version,
-    life: u64,
-    paused: Vec<Event>,
-    asleep: bool,
+    incarnation: u64,
+    queued: Vec<Event>,
+    paused: bool,
     tick: clock::Instant,
 }
 
@@ -91,19 +92,19 @@
     pub bytes: u64,
     /// Datagrams sent.
     pub datagrams: u64,
-    /// Transfers of a whole parcel begun.
+    /// Transfers served with an update.
     pub transfers: u64,
     /// Transfers refused.
     pub busy: u64,
-    /// Most transfers served by one host at once.
-    pub most: u64,
+    /// Highest number of transfers served by one host at once.
+    pub max_serving: u64,
     /// Reads of the log.
     pub reads: u64,
     /// Bytes of records read.
     pub read_bytes: u64,
 }
 
-/// The whole of it.
+/// The simulated fleet.
 pub struct Net {
     /// The hosts.
     pub nodes: Vec<Node>,
@@ -111,11 +112,11 @@
     pub source: source::Source,
     /// Share of datagrams lost, from 0 to 1.
     pub loss: f64,
-    /// Share of datagrams doubled, from 0 to 1.
-    pub double: f64,
-    /// Whether regions reach each other.
+    /// Share of datagrams delivered twice, from 0 to 1.
+    pub duplication: f64,
+    /// Whether the regions can reach each other.
     pub joined: bool,
-    /// Nodes that don't reach the log.
+    /// Nodes that can't reach the log.
     pub without_log: collections::HashSet<usize>,
     /// Counts so far.
     pub counts: Counts,
@@ -125,21 +126,22 @@
     queue: collections::BinaryHeap<Queued>,
     order: u64,
     rng: rngs::StdRng,
-    waits: collections::BTreeMap<usize, (u64, tail::Read)>,
+    waiting: collections::BTreeMap<usize, (u64, read_schedule::Read)>,
     serving: collections::HashMap<usize, u64>,
-    fetches: collections::HashMap<Transfer, usize>,
-    transfer: Transfer,
+    fetches: collections::HashMap<TransferId, usize>,
+    transfer: TransferId,
     views: bool,
 }
 
 impl Net {
-    /// `zones` zones of `hosts` hosts each, two zones a region, all starting at once.
+    /// A fleet of `zones` zones with `hosts` hosts each, two zones to a region, that all start at
+    /// once.
     pub fn new(zones: u8, hosts: u8, settings: configs::spread::Spread, seed: u64) -> Self {
         let mut net = Self {
             nodes: Vec::new(),
             source: source::Source::default(),
             loss: 0.0,
-            double: 0.0,
+            duplication: 0.0,
             joined: true,
             without_log: collections::HashSet::new(),
             counts: Counts::default(),
@@ -148,34 +150,34 @@
             queue: collections::BinaryHeap::new(),
             order: 0,
             rng: rngs::StdRng::seed_from_u64(seed),
-            waits: collections::BTreeMap::new(),
+            waiting: collections::BTreeMap::new(),
             serving: collections::HashMap::new(),
             fetches: collections::HashMap::new(),
             transfer: 0,
             views: true,
         };
         for zone in 0..zones {
-            let place = Arc::new(view::Locality {
+            let locality = Arc::new(view::Locality {
                 region: format_smolstr!("region-{}", zone / 2),
                 zone: format_smolstr!("zone-{zone}"),
             });
-            (0..hosts).for_each(|h| net.place(net::Ipv4Addr::new(127, 9, zone, h), &place));
+            (0..hosts).for_each(|h| net.add_node(net::Ipv4Addr::new(127, 9, zone, h), &locality));
         }
         (0..net.nodes.len()).for_each(|n| net.start(n));
-        net.put(net.now, Item::Views);
+        net.schedule(net.now, Item::Views);
         net
     }
 
-    fn place(&mut self, ip: net::Ipv4Addr, place: &Arc<view::Locality>) {
+    fn add_node(&mut self, ip: net::Ipv4Addr, locality: &Arc<view::Locality>) {
         self.nodes.push(Node {
             id: host::HostId::new((ip, 7100).into()),
-            locality: Arc::clone(place),
+            locality: Arc::clone(locality),
             core: None,
             running: version::VersionId::default(),
             ran: version::Version::NONE,
-            life: 0,
-            paused: Vec::new(),
-            asleep: false,
+            incarnation: 0,
+            queued: Vec::new(),
+            paused: false,
             tick: clock::Instant::ZERO,
         });
     }
@@ -183,27 +185,27 @@
     /// Adds a host to the zone of `like` and starts it.
     pub fn add(&mut self, like: usize) -> usize {
         let index = self.nodes.len();
-        let place = Arc::clone(&self.nodes[like].locality);
-        self.place(net::Ipv4Addr::new(127, 10, 0, index as u8), &place);
+        let locality = Arc::clone(&self.nodes[like].locality);
+        self.add_node(net::Ipv4Addr::new(127, 10, 0, index as u8), &locality);
         self.start(index);
-        self.put(self.now, Item::Views);
+        self.schedule(self.now, Item::Views);
         index
     }
 
-    /// Kills the process of `node`.
+    /// Ends the process of `node` without notice.
     pub fn kill(&mut self, node: usize) {
         let host = &mut self.nodes[node];
         host.core = None;
-        host.life += 1;
+        host.incarnation += 1;
         host.running = version::VersionId::default();
-        host.paused.clear();
-        host.asleep = false;
-        self.waits.remove(&node);
+        host.queued.clear();
+        host.paused = false;
+        self.waiting.remove(&node);
         self.serving.remove(&node);
-        self.put(self.now + DETECT, Item::Views);
+        self.schedule(self.now + DETECTION_TIME, Item::Views);
     }
 
-    /// Starts a process on the host of `node`, which has none.
+    /// Starts a process on `node`, which must have none.
     pub fn start(&mut self, node: usize) {
         let id = self.nodes[node].id;
         let identity = Identity {
@@ -217,53 +219,53 @@
         let core = Spread::new(identity, self.settings.clone(), seed, self.now);
         self.nodes[node].core = Some(core);
         self.nodes[node].tick = clock::Instant::ZERO;
-        let later = self.rng.random_range(0..1000);
-        self.put(self.now + time::Duration::from_millis(later), Item::Probe { node });
-        self.put(self.now + time::Duration::from_millis(30), Item::Views);
-        self.put(self.now, Item::Tick { node });
+        let delay = self.rng.random_range(0..1000);
+        self.schedule(self.now + time::Duration::from_millis(delay), Item::Probe { node });
+        self.schedule(self.now + time::Duration::from_millis(30), Item::Views);
+        self.schedule(self.now, Item::Tick { node });
     }
 
-    /// Stops the process of `node` without ending it.
+    /// Pauses the process of `node`.
     pub fn pause(&mut self, node: usize) {
-        self.nodes[node].asleep = true;
-        self.put(self.now + DETECT, Item::Views);
+        self.nodes[node].paused = true;
+        self.schedule(self.now + DETECTION_TIME, Item::Views);
     }
 
-    /// Lets a stopped process go on; it then finds all that came meanwhile.
+    /// Resumes a paused process, which then gets the events of the pause.
     pub fn resume(&mut self, node: usize) {
-        self.nodes[node].asleep = false;
-        let life = self.nodes[node].life;
-        for event in std::mem::take(&mut self.nodes[node].paused) {
-            self.put(self.now, Item::Event { node, life, event });
+        self.nodes[node].paused = false;
+        let incarnation = self.nodes[node].incarnation;
+        for event in std::mem::take(&mut self.nodes[node].queued) {
+            self.schedule(self.now, Item::Event { node, incarnation, event });
         }
-        self.put(self.now, Item::Tick { node });
-        self.put(self.now, Item::Views);
+        self.schedule(self.now, Item::Tick { node });
+        self.schedule(self.now, Item::Views);
     }
 
-    /// Appends a configuration with the right base; gives the version it is accepted as.
+    /// Appends a configuration based on the current version and returns the new current version.
     pub fn publish(&mut self, file: &[u8]) -> version::Version {
         let base = self.source.current().version;
-        self.append(base, file);
+        self.append_publish(base, file);
         self.source.current().version
     }
 
-    /// Appends a record and wakes who waits for it.
-    pub fn append(&mut self, base: version::Version, file: &[u8]) {
+    /// Appends a publish and answers the reads that wait for a record.
+    pub fn append_publish(&mut self, base: version::Version, file: &[u8]) {
         let millis = self.now.as_micros() / 1000;
-        self.source.append(base, file, millis);
-        self.wake_waits();
+        self.source.append_publish(base, file, millis);
+        self.wake_readers();
     }
 
-    /// Appends the operator's configuration `number`; gives its version.
-    pub fn settle(&mut self, number: u64, file: &[u8]) -> version::Version {
+    /// Appends configuration `number` as accepted by the log itself and returns its version.
+    pub fn publish_accepted(&mut self, number: u64, file: &[u8]) -> version::Version {
         let millis = self.now.as_micros() / 1000;
-        self.source.settle(number, file, millis);
-        self.wake_waits();
+        self.source.append_accepted(number, file, millis);
+        self.wake_readers();
         self.source.current().version
     }
 
-    /// Lets time pass until `done` holds; gives the time it took, `None` beyond `limit`.
-    pub fn until(
+    /// Advances time until `done` is true and returns the time it took; `None` after `limit`.
+    pub fn run_until(
         &mut self,
         limit: time::Duration,
         done: impl Fn(&Net) -> bool,
@@ -277,30 +279,30 @@
         Some(self.now.since(begin))
     }
 
-    /// Lets `span` pass.
-    pub fn pass(&mut self, span: time::Duration) {
+    /// Advances time by `span`.
+    pub fn advance(&mut self, span: time::Duration) {
         let end = self.now + span;
         while self.step(end) {}
         self.now = end;
     }
 
-    /// Whether every live node runs `version`.
+    /// Whether every running node has applied `version`.
     pub fn all_run(&self, version: version::Version) -> bool {
         self.live().all(|n| n.running.version == version)
     }
 
-    /// The live nodes that don't run `version`, for messages of failed tests.
+    /// The state of the running nodes that have not applied `version`, for assertion messages.
     pub fn behind(&self, version: version::Version) -> String {
         let behind = self.live().filter(|n| n.running.version != version);
         behind.filter_map(|n| n.core.as_ref()).map(|c| format!("{c:?}\n")).collect()
     }
 
-    /// The nodes whose processes live and are not stopped.
+    /// The nodes that have a process which is not paused.
     pub fn live(&self) -> impl Iterator<Item = &Node> {
-        self.nodes.iter().filter(|n| n.core.is_some() && !n.asleep)
+        self.nodes.iter().filter(|n| n.core.is_some() && !n.paused)
     }
 
-    fn put(&mut self, at: clock::Instant, item: Item) {
+    fn schedule(&mut self, at: clock::Instant, item: Item) {
         self.order += 1;
         self.queue.push(Queued { at, order: self.order, item });
     }
@@ -312,36 +314,39 @@
         let Some(queued) = self.queue.pop() else { return false };
         self.now = self.now.max(queued.at);
         match queued.item {
-            Item::Event { node, life, event } if self.nodes[node].life == life => {
-                self.feed(node, event);
+            Item::Event { node, incarnation, event }
+                if self.nodes[node].incarnation == incarnation =>
+            {
+                self.deliver(node, event);
             }
             Item::Event { .. } => {}
             Item::Probe { node } => self.probe(node),
-            Item::Tick { node } if !self.nodes[node].asleep => self.feed(node, Event::Tick),
+            Item::Tick { node } if !self.nodes[node].paused => self.deliver(node, Event::Tick),
             Item::Tick { .. } => {}
-            Item::Unwait { node, ticket } => {
-                if let Some((_, read)) = self.waits.get(&node).filter(|w| w.0 == ticket).copied() {
-                    self.waits.remove(&node);
+            Item::EndWait { node, ticket } => {
+                if let Some((_, read)) = self.waiting.get(&node).filter(|w| w.0 == ticket).copied()
+                {
+                    self.waiting.remove(&node);
                     self.answer_read(node, read);
                 }
             }
-            Item::Views => self.show(),
+            Item::Views => self.update_views(),
         }
         true
     }
 
-    fn feed(&mut self, node: usize, event: Event) {
-        if self.nodes[node].asleep {
-            self.nodes[node].paused.push(event);
+    fn deliver(&mut self, node: usize, event: Event) {
+        if self.nodes[node].paused {
+            self.nodes[node].queued.push(event);
             return;
         }
-        if matches!(event, Event::Ended) {
+        if matches!(event, Event::TransferSent) {
             self.serving.entry(node).and_modify(|n| *n -= 1);
         }
         let now = self.now;
         let Some(core) = &mut self.nodes[node].core else { return };
         let actions = core.handle(event, now);
-        let wake = core.wake(now);
+        let wake = core.next_wake(now);
         for action in actions {
             self.perform(node, action);
         }
@@ -350,14 +355,14 @@
             assert!(wake > now, "{} would spin", self.nodes[node].id);
             if tick <= now || wake < tick {
                 self.nodes[node].tick = wake;
-                self.put(wake, Item::Tick { node });
+                self.schedule(wake, Item::Tick { node });
             }
         }
     }
 
     fn perform(&mut self, node: usize, action: Action) {
         match action {
-            Action::Answer { transfer, served } => self.answer_fetch(node, transfer, served),
+            Action::Reply { transfer, reply } => self.answer_fetch(node, transfer, reply),
             Action::Append(body) => self.snapshot(body),
             Action::Fetch { host, have } => self.fetch(node, host, have),
             Action::Read(read) => self.read(node, read),
@@ -373,25 +378,34 @@
         self.nodes[node].ran = self.nodes[node].ran.max(applied.version_id.version);
     }
 
-    /// What must always hold when a node swaps its configuration.
+    /// Checks the invariants when a node applies a configuration: it goes forward, also across
+    /// restarts, and is the complete file of an accepted version.
     fn check(&self, node: usize, before: version::Version, applied: &mesh::Applied) {
-        let (id, stamp) = (self.nodes[node].id, applied.version_id);
-        assert!(stamp.version > before, "{id} goes from {before} back to {}", stamp.version);
+        let (id, version_id) = (self.nodes[node].id, applied.version_id);
+        assert!(
+            version_id.version > before,
+            "{id} goes from {before} back to {}",
+            version_id.version
+        );
         let ran = self.nodes[node].ran;
-        assert!(stamp.version >= ran, "{id} has run {ran} and now runs {}", stamp.version);
-        let accepted = self.source.accepted(stamp.version);
+        assert!(
+            version_id.version >= ran,
+            "{id} has run {ran} and now runs {}",
+            version_id.version
+        );
+        let accepted = self.source.accepted(version_id.version);
         let file = accepted.expect("only accepted versions run");
-        assert_eq!(version::Digest::of(file), stamp.digest, "{id} runs another file");
-        let whole = mesh::check::check(file).expect("accepted files are valid");
-        assert_eq!(*applied.mesh, whole, "{id} runs a part of {}", stamp.version);
+        assert_eq!(version::Digest::of(file), version_id.digest, "{id} runs another file");
+        let expected = mesh::check::check(file).expect("accepted files are valid");
+        assert_eq!(*applied.mesh, expected, "{id} runs a part of {}", version_id.version);
     }
 
-    /// One probe: both sides hear what the other runs.
+    /// Simulates a membership probe, in which both nodes learn the version that the other runs.
     fn probe(&mut self, node: usize) {
-        self.put(self.now + PROBE, Item::Probe { node });
+        self.schedule(self.now + PROBE_INTERVAL, Item::Probe { node });
         let other = self.rng.random_range(0..self.nodes.len());
         let lost = self.rng.random_bool(self.loss);
-        let alive = |n: &Node| n.core.is_some() && !n.asleep;
+        let alive = |n: &Node| n.core.is_some() && !n.paused;
         if lost || other == node || !self.reaches(node, other) {
             return;
         }
@@ -403,43 +417,43 @@
             if version == self.nodes[to].running.version {
                 continue;
             }
-            let event = Event::Heard { host: self.nodes[of].id, version };
-            let (at, life) = (self.delay(), self.nodes[to].life);
-            self.put(at, Item::Event { node: to, life, event });
+            let event = Event::VersionReported { host: self.nodes[of].id, version };
+            let (at, incarnation) = (self.delay(), self.nodes[to].incarnation);
+            self.schedule(at, Item::Event { node: to, incarnation, event });
         }
     }
 
-    /// Shows every node the hosts it reaches; see [`DETECT`].
-    fn show(&mut self) {
+    /// Gives every node a view of the hosts it reaches; see [`DETECTION_TIME`].
+    fn update_views(&mut self) {
         if !self.views {
             return;
         }
         for node in 0..self.nodes.len() {
-            let hosts = (0..self.nodes.len()).map(|other| self.seen(node, other)).collect();
+            let hosts = (0..self.nodes.len()).map(|other| self.host_seen(node, other)).collect();
             let view = Arc::new(view::View::new(hosts));
-            self.feed(node, Event::View(view));
+            self.deliver(node, Event::View(view));
         }
     }
 
-    fn seen(&self, by: usize, other: usize) -> view::Host {
+    fn host_seen(&self, by: usize, other: usize) -> view::Host {
         let host = &self.nodes[other];
-        let up = host.core.is_some() && !host.asleep && self.reaches(by, other);
+        let up = host.core.is_some() && !host.paused && self.reaches(by, other);
         view::Host {
             id: host.id,
             locality: Arc::clone(&host.locality),
-            incarnation: host.life,
+            incarnation: host.incarnation,
             health: if up { view::Health::Alive } else { view::Health::Unreachable },
             upstream: None,
         }
     }
 
-    /// Cuts or joins the regions, which the views show after [`DETECT`].
-    pub fn join(&mut self, joined: bool) {
+    /// Cuts or restores the network between regions; views show it after [`DETECTION_TIME`].
+    pub fn set_joined(&mut self, joined: bool) {
         self.joined = joined;
-        self.put(self.now + DETECT, Item::Views);
+        self.schedule(self.now + DETECTION_TIME, Item::Views);
     }
 
-    /// Names the zone of `node`.
+    /// The availability zone of `node`.
     pub fn zone(&self, node: usize) -> SmolStr {
         self.nodes[node].locality.zone.clone()
     }
--- a/src/spread/tests/net/links.rs
+++ b/src/spread/tests/net/links.rs
@@ -1,4 +1,4 @@
-//! Datagrams, transfers and reads of the log, with their delays and losses.
+//! Simulated datagrams, transfers and reads of the log, with delays and losses.
 
 use std::time;
 
@@ -8,26 +8,26 @@
 use crate::host;
 use crate::logs;
 use crate::seal;
-use crate::spread::decision::{Event, Transfer};
+use crate::spread::decision::{Event, TransferId};
 use crate::spread::message;
-use crate::spread::tail;
+use crate::spread::read_schedule;
 use crate::spread::tests::net::{Item, Net};
 use crate::version;
 
-/// One-way delay of the network, in microseconds.
+/// Range of the network's one-way delay, in microseconds.
 const DELAY: (u64, u64) = (200, 3000);
 
 impl Net {
     pub(super) fn snapshot(&mut self, body: bytes::Bytes) {
         if self.source.up {
-            self.source.put(body, self.now.as_micros() / 1000);
-            self.wake_waits();
+            self.source.append_record(body, self.now.as_micros() / 1000);
+            self.wake_readers();
         }
     }
 
-    /// Wakes the reads that wait for a record.
-    pub fn wake_waits(&mut self) {
-        for (node, (_, read)) in std::mem::take(&mut self.waits) {
+    /// Answers the reads that wait for a record.
+    pub fn wake_readers(&mut self) {
+        for (node, (_, read)) in std::mem::take(&mut self.waiting) {
             self.answer_read(node, read);
         }
     }
@@ -53,14 +53,14 @@
         self.counts.bytes += size as u64;
         self.counts.datagrams += 1;
         let Some(to) = self.index(host) else { return };
-        let copies = 1 + usize::from(self.rng.random_bool(self.double));
+        let copies = 1 + usize::from(self.rng.random_bool(self.duplication));
         for _ in 0..copies {
             if self.rng.random_bool(self.loss) || !self.reaches(from, to) {
                 continue;
             }
             let event = Event::Datagram { host: self.nodes[from].id, datagram: datagram.clone() };
-            let (at, life) = (self.delay(), self.nodes[to].life);
-            self.put(at, Item::Event { node: to, life, event });
+            let (at, incarnation) = (self.delay(), self.nodes[to].incarnation);
+            self.schedule(at, Item::Event { node: to, incarnation, event });
         }
     }
 
@@ -69,68 +69,71 @@
         let to = to.filter(|&t| self.nodes[t].core.is_some());
         let Some(to) = to else {
             let event = Event::Fetched { host, served: None };
-            let life = self.nodes[from].life;
-            return self.put(
+            let incarnation = self.nodes[from].incarnation;
+            return self.schedule(
                 self.now + time::Duration::from_millis(50),
-                Item::Event { node: from, life, event },
+                Item::Event { node: from, incarnation, event },
             );
         };
         self.transfer += 1;
         self.fetches.insert(self.transfer, from);
         let fetch = message::Fetch { host: self.nodes[from].id, have };
         let event = Event::Fetch { transfer: self.transfer, fetch };
-        let (at, life) = (self.delay(), self.nodes[to].life);
-        self.put(at, Item::Event { node: to, life, event });
+        let (at, incarnation) = (self.delay(), self.nodes[to].incarnation);
+        self.schedule(at, Item::Event { node: to, incarnation, event });
     }
 
     pub(super) fn answer_fetch(
         &mut self,
         from: usize,
-        transfer: Transfer,
-        served: message::Served,
+        transfer: TransferId,
+        served: message::FetchReply,
     ) {
         let size = postcard::to_stdvec(&served).expect("encodes").len();
         self.counts.bytes += size as u64;
         let Some(to) = self.fetches.remove(&transfer) else { return };
-        // A connection at 100 Mbit/s.
+        // Transfer time at 100 Mbit/s.
         let done = self.delay() + time::Duration::from_nanos(80 * size as u64);
-        if matches!(served, message::Served::Busy { .. }) {
+        if matches!(served, message::FetchReply::Busy { .. }) {
             self.counts.busy += 1;
         }
-        if matches!(served, message::Served::Parcel(_)) {
+        if matches!(served, message::FetchReply::Update(_)) {
             self.counts.transfers += 1;
             let serving = self.serving.entry(from).or_default();
             *serving += 1;
-            self.counts.most = self.counts.most.max(*serving);
-            let life = self.nodes[from].life;
-            self.put(done, Item::Event { node: from, life, event: Event::Ended });
+            self.counts.max_serving = self.counts.max_serving.max(*serving);
+            let incarnation = self.nodes[from].incarnation;
+            self.schedule(
+                done,
+                Item::Event { node: from, incarnation, event: Event::TransferSent },
+            );
         }
         let event = Event::Fetched { host: self.nodes[from].id, served: Some(served) };
-        let life = self.nodes[to].life;
-        self.put(done, Item::Event { node: to, life, event });
+        let incarnation = self.nodes[to].incarnation;
+        self.schedule(done, Item::Event { node: to, incarnation, event });
     }
 
-    pub(super) fn read(&mut self, node: usize, read: tail::Read) {
+    pub(super) fn read(&mut self, node: usize, read: read_schedule::Read) {
         self.counts.reads += 1;
         if !self.source.up || self.without_log.contains(&node) {
-            let (at, life) = (self.delay(), self.nodes[node].life);
-            return self.put(at, Item::Event { node, life, event: self.ended(None) });
+            let (at, incarnation) = (self.delay(), self.nodes[node].incarnation);
+            return self.schedule(at, Item::Event { node, incarnation, event: self.ended(None) });
         }
         if self.source.next() > read.from || read.wait.is_zero() {
             return self.answer_read(node, read);
         }
         let ticket = self.order;
-        self.waits.insert(node, (ticket, read));
-        self.put(self.now + read.wait, Item::Unwait { node, ticket });
+        self.waiting.insert(node, (ticket, read));
+        self.schedule(self.now + read.wait, Item::EndWait { node, ticket });
     }
 
-    pub(super) fn answer_read(&mut self, node: usize, read: tail::Read) {
+    pub(super) fn answer_read(&mut self, node: usize, read: read_schedule::Read) {
         let reached = self.source.up && !self.without_log.contains(&node);
         let batch = reached.then(|| self.source.read(read.from));
         let bytes: usize = batch.iter().flat_map(|b| &b.records).map(|r| r.body.len()).sum();
         self.counts.read_bytes += bytes as u64;
-        let (at, life) = (self.delay(), self.nodes[node].life);
-        self.put(at, Item::Event { node, life, event: self.ended(batch) });
+        let (at, incarnation) = (self.delay(), self.nodes[node].incarnation);
+        self.schedule(at, Item::Event { node, incarnation, event: self.ended(batch) });
     }
 
     pub(super) fn ended(&self, batch: Option<logs::Batch>) -> Event {
--- a/src/spread/tests/whole.rs
+++ b/src/spread/tests/propagation.rs
@@ -1,4 +1,5 @@
-//! Whole fleets in virtual time: every accepted version reaches every live node, whatever fails.
+//! Propagation of versions through fleets in virtual time: latency, reads of the log and bytes
+//! sent_bytes.
 
 use std::time;
 
@@ -16,7 +17,7 @@
 fn a_version_reaches_all_within_milliseconds(#[case] settings: configs::spread::Spread) {
     let (mut net, _) = fleet::started(4, 25, settings, 1);
     let version = net.publish(&fleet::file(1));
-    let took = net.until(SECOND, |n| n.all_run(version)).expect("within a second");
+    let took = net.run_until(SECOND, |n| n.all_run(version)).expect("within a second");
     assert!(took < time::Duration::from_millis(100), "{took:?}");
 }
 
@@ -29,7 +30,7 @@
         let before = net.counts;
         for change in 0..20 {
             net.publish(&fleet::file(change));
-            net.pass(SECOND);
+            net.advance(SECOND);
         }
         let after = net.counts;
         (after.reads - before.reads, after.read_bytes - before.read_bytes)
@@ -46,31 +47,31 @@
     let (mut net, _) = fleet::started(2, 20, settings.clone(), 2);
     let before = net.counts;
     let version = net.publish(&files::valid(1, 300));
-    assert!(net.until(SECOND * 5, |n| n.all_run(version)).is_some());
+    assert!(net.run_until(SECOND * 5, |n| n.all_run(version)).is_some());
     let after = net.counts;
     let read = 2 * u64::from(settings.readers);
     assert!(after.transfers - before.transfers >= 40 - read, "{after:?}");
-    assert!(after.most <= u64::from(settings.transfers), "{after:?}");
+    assert!(after.max_serving <= u64::from(settings.transfers), "{after:?}");
 }
 
 #[test]
 fn versions_in_quick_succession_end_with_the_last() {
     let (mut net, _) = fleet::started(3, 20, configs::spread::Spread::cascadia(), 3);
-    net.double = 0.3;
+    net.duplication = 0.3;
     for tag in 1..30 {
         net.publish(&fleet::file(tag));
-        net.pass(time::Duration::from_millis(5));
+        net.advance(time::Duration::from_millis(5));
     }
     let last = net.source.current().version;
-    assert!(net.until(SECOND * 3, |n| n.all_run(last)).is_some());
+    assert!(net.run_until(SECOND * 3, |n| n.all_run(last)).is_some());
 }
 
 #[test]
 fn a_bad_or_late_publish_changes_nothing() {
     let (mut net, version) = fleet::started(2, 10, configs::spread::Spread::cascadia(), 4);
-    net.append(version, &files::dangling());
-    net.append(version::Version::NONE, &fleet::file(1));
-    net.pass(SECOND * 3);
+    net.append_publish(version, &files::dangling());
+    net.append_publish(version::Version::NONE, &fleet::file(1));
+    net.advance(SECOND * 3);
     assert!(net.all_run(version));
 }
 
@@ -83,16 +84,16 @@
 ) {
     let (mut net, _) = fleet::started(4, 25, settings, 5);
     let mut base = fleet::file(0);
-    let (mut sent, mut least) = (0, 0);
+    let (mut sent_bytes, mut min_bytes) = (0, 0);
     for tag in 1..20 {
         let next = fleet::file(tag);
         let before = net.counts.bytes;
         net.publish(&next);
-        net.pass(SECOND * 3);
-        sent += net.counts.bytes - before;
-        least += 100 * (delta::diff(Some(&base), &next).size() + version::DIGEST_BYTES);
+        net.advance(SECOND * 3);
+        sent_bytes += net.counts.bytes - before;
+        min_bytes += 100 * (delta::diff(Some(&base), &next).size() + version::DIGEST_BYTES);
         base = next;
     }
-    let ratio = sent as f64 / least as f64;
-    assert!(ratio <= bound, "{ratio}: {sent} bytes for {least}");
+    let ratio = sent_bytes as f64 / min_bytes as f64;
+    assert!(ratio <= bound, "{ratio}: {sent_bytes} bytes for {min_bytes}");
 }
--- a/src/spread/tests/parts.rs
+++ b/src/spread/tests/single_node.rs
@@ -1,4 +1,4 @@
-//! Single nodes, fed by hand.
+//! Reactions of a single node to events that the test feeds to it.
 
 use std::sync::Arc;
 use std::time;
@@ -14,7 +14,7 @@
 use crate::logs;
 use crate::spread::confirm;
 use crate::spread::decision::{Action, Event, Identity, Spread};
-use crate::spread::message::{self, Datagram, Way};
+use crate::spread::message::{self, Datagram, Forwarding};
 use crate::spread::tests::fleet;
 use crate::version;
 use crate::view;
@@ -28,10 +28,10 @@
 }
 
 fn view(hosts: u8) -> Arc<view::View> {
-    let place = Arc::new(view::Locality { region: "r".into(), zone: "z".into() });
+    let locality = Arc::new(view::Locality { region: "r".into(), zone: "z".into() });
     let host = |n| view::Host {
         id: id(n),
-        locality: Arc::clone(&place),
+        locality: Arc::clone(&locality),
         incarnation: 1,
         health: view::Health::Alive,
         upstream: None,
@@ -39,7 +39,7 @@
     Arc::new(view::View::new((0..hosts).map(host).collect()))
 }
 
-/// A node that knows `hosts` hosts of its zone and has seen its first view.
+/// A node whose first view shows `hosts` hosts of its zone.
 fn node(me: u8, hosts: u8, settings: configs::spread::Spread) -> Spread {
     let identity = Identity {
         host: id(me),
@@ -53,8 +53,8 @@
     node
 }
 
-/// The `n`th node of three that is not yet settled, made to settle with the log down.
-fn settle(node: &mut Spread, told: version::Version) -> Vec<Action> {
+/// Completes the start of `node` while the log is down; queried hosts report that it ran `ran`.
+fn complete_start(node: &mut Spread, ran: version::Version) -> Vec<Action> {
     let mut actions = Vec::new();
     for millis in (2..20_000).step_by(10) {
         for action in node.handle(Event::Tick, at(millis)) {
@@ -63,9 +63,9 @@
                     let event = Event::Read { batch: None, unix_millis: 0 };
                     actions.extend(node.handle(event, at(millis)));
                 }
-                Action::Send { host, datagram: Datagram::Ask } => {
-                    let stamp = version::VersionId::default();
-                    let datagram = Datagram::Tell { version_id: stamp, yours: told };
+                Action::Send { host, datagram: Datagram::Query } => {
+                    let version_id = version::VersionId::default();
+                    let datagram = Datagram::QueryReply { version_id, highest_run: ran };
                     let event = Event::Datagram { host: *host, datagram };
                     actions.extend(node.handle(event, at(millis)));
                 }
@@ -73,25 +73,25 @@
             }
             actions.push(action);
         }
-        if node.settled() {
+        if node.started() {
             return actions;
         }
     }
-    panic!("the node does not settle: {node:?}");
+    panic!("the node does not complete its start: {node:?}");
 }
 
-fn parcel(number: u64) -> message::Parcel {
+fn update(number: u64) -> message::Update {
     let file = fleet::file(number);
-    let stamp = version::VersionId {
+    let version_id = version::VersionId {
         version: version::Version::new(number),
         digest: version::Digest::of(&file),
     };
     let patch = delta::diff(None, &file);
-    message::Parcel { version_id: stamp, base: version::Version::NONE, patch }
+    message::Update { version_id, base: version::Version::NONE, patch }
 }
 
 fn push(node: &mut Spread, number: u64, millis: u64) -> Vec<Action> {
-    let datagram = Datagram::Push { parcel: parcel(number), way: Way::PassAck };
+    let datagram = Datagram::Push { update: update(number), forwarding: Forwarding::ForwardAck };
     node.handle(Event::Datagram { host: id(99), datagram }, at(millis))
 }
 
@@ -103,9 +103,9 @@
 }
 
 #[test]
-fn nothing_below_what_a_peer_remembers_of_an_earlier_life_runs() {
+fn no_version_below_the_one_run_before_a_restart_runs() {
     let mut node = node(0, 3, configs::spread::Spread::cascadia());
-    settle(&mut node, version::Version::new(7));
+    complete_start(&mut node, version::Version::new(7));
     assert_eq!(runs(&push(&mut node, 6, 30_000)), None);
     assert_eq!(runs(&push(&mut node, 7, 30_010)), Some(7));
 }
@@ -113,33 +113,36 @@
 #[test]
 fn an_older_or_equal_push_changes_nothing_and_is_acknowledged() {
     let mut node = node(0, 3, configs::spread::Spread::cascadia());
-    settle(&mut node, version::Version::NONE);
+    complete_start(&mut node, version::Version::NONE);
     assert_eq!(runs(&push(&mut node, 5, 30_000)), Some(5));
     for number in [4, 5] {
         let actions = push(&mut node, number, 30_010);
         assert_eq!(runs(&actions), None);
-        let acked = |a: &Action| matches!(a, Action::Send { datagram: Datagram::Ack { version }, .. } if version.number() == 5);
+        let acked = |a: &Action| {
+            let Action::Send { datagram: Datagram::Ack { version }, .. } = a else { return false };
+            version.number() == 5
+        };
         assert!(actions.iter().any(acked), "{actions:?}");
         assert_eq!(node.held().version.number(), 5);
     }
 }
 
 #[test]
-fn a_patch_that_leads_elsewhere_is_not_taken() {
+fn an_update_with_a_wrong_digest_is_refused() {
     let mut node = node(0, 3, configs::spread::Spread::cascadia());
-    settle(&mut node, version::Version::NONE);
-    let mut wrong = parcel(5);
+    complete_start(&mut node, version::Version::NONE);
+    let mut wrong = update(5);
     wrong.version_id.digest = version::Digest::of(b"another file");
-    let datagram = Datagram::Push { parcel: wrong, way: Way::Pass };
+    let datagram = Datagram::Push { update: wrong, forwarding: Forwarding::Forward };
     let actions = node.handle(Event::Datagram { host: id(1), datagram }, at(30_000));
     assert_eq!(runs(&actions), None);
     assert_eq!(node.held(), version::VersionId::default());
 }
 
-/// Host `from` announces version `number`; gives the host that is then asked for a transfer.
+/// Announces version `number` as host `from`; returns the host from which the node then fetches.
 fn announce(node: &mut Spread, from: u8, number: u64, millis: u64) -> Option<host::HostId> {
-    let stamp = parcel(number).version_id;
-    let datagram = Datagram::Announce { version_id: stamp, way: Way::Pass };
+    let version_id = update(number).version_id;
+    let datagram = Datagram::Announce { version_id, forwarding: Forwarding::Forward };
     let actions = node.handle(Event::Datagram { host: id(from), datagram }, at(millis));
     actions.iter().find_map(|action| match action {
         Action::Fetch { host, .. } => Some(*host),
@@ -150,47 +153,47 @@
 #[rstest]
 #[case::that_has_just_begun(100, None)]
 #[case::that_hangs(600, Some(id(2)))]
-fn a_transfer_that_hangs_holds_no_newer_version_up(
-    #[case] later: u64,
+fn a_hanging_transfer_does_not_delay_a_newer_version(
+    #[case] delay: u64,
     #[case] asked: Option<host::HostId>,
 ) {
     let mut node = node(0, 3, configs::spread::Spread::cascadia());
-    settle(&mut node, version::Version::NONE);
+    complete_start(&mut node, version::Version::NONE);
     assert_eq!(announce(&mut node, 1, 5, 30_000), Some(id(1)));
-    assert_eq!(announce(&mut node, 2, 6, 30_000 + later), asked);
+    assert_eq!(announce(&mut node, 2, 6, 30_000 + delay), asked);
 }
 
 #[test]
 fn no_more_transfers_than_allowed_are_served() {
     let settings = configs::spread::Spread::cascadia();
     let mut node = node(0, 30, settings.clone());
-    settle(&mut node, version::Version::NONE);
+    complete_start(&mut node, version::Version::NONE);
     push(&mut node, 5, 30_000);
     let mut ask = |transfer: u64| {
         let fetch = message::Fetch { host: id(transfer as u8), have: version::Version::NONE };
         let actions = node.handle(Event::Fetch { transfer, fetch }, at(30_100));
         actions.into_iter().find_map(|a| match a {
-            Action::Answer { served, .. } => Some(served),
+            Action::Reply { reply, .. } => Some(reply),
             _ => None,
         })
     };
-    let most = u64::from(settings.transfers);
-    for transfer in 1..=most {
-        assert!(matches!(ask(transfer), Some(message::Served::Parcel(_))));
+    let max = u64::from(settings.transfers);
+    for transfer in 1..=max {
+        assert!(matches!(ask(transfer), Some(message::FetchReply::Update(_))));
     }
-    let other = match ask(most + 1) {
-        Some(message::Served::Busy { other }) => other,
+    let other = match ask(max + 1) {
+        Some(message::FetchReply::Busy { other }) => other,
         served => panic!("{served:?}"),
     };
     assert_eq!(other, Some(id(1)), "the first one served is named");
 }
 
-/// The node of three that follows the log, settled, with its first batch read.
+/// The node of three that follows the log, after its start.
 fn follower(settings: &configs::spread::Spread) -> (Spread, clock::Instant) {
     for me in 0..3 {
         let mut node = node(me, 3, settings.clone());
-        settle(&mut node, version::Version::NONE);
-        if node.role() == crate::spread::tail::Role::Follow {
+        complete_start(&mut node, version::Version::NONE);
+        if node.role() == crate::spread::read_schedule::Role::Follow {
             return (node, at(40_000));
         }
     }
@@ -205,7 +208,7 @@
     logs::Record { offset: 0, unix_millis: 0, body }
 }
 
-/// Feeds the first record to a follower.
+/// Answers a follower's reads with the first record.
 fn read(node: &mut Spread, now: clock::Instant) -> Vec<Action> {
     let mut actions = Vec::new();
     for _ in 0..2 {
@@ -230,7 +233,7 @@
 }
 
 #[test]
-fn a_version_from_the_log_runs_after_a_while_without_a_witness() {
+fn a_version_from_the_log_runs_without_a_witness_after_the_wait() {
     let settings = configs::spread::Spread::cascadia();
     let (mut node, now) = follower(&settings);
     read(&mut node, now);
@@ -240,7 +243,7 @@
     assert_eq!(runs(&node.handle(Event::Tick, now + wait)), Some(1));
 }
 
-/// A node without configured hosts, and the first read of the log that it asks for.
+/// A node whose settings name no hosts to join through and which has begun to read the log.
 fn alone() -> Spread {
     let identity = Identity {
         host: id(2),
@@ -255,10 +258,10 @@
     node
 }
 
-fn settled(offset: u64) -> logs::Record {
+fn accepted(offset: u64) -> logs::Record {
     let version = version::Version::assigned(offset + 1, logs::ordinal(0, offset));
-    let settled = record::Accepted { version, format: 1, body: fleet::file(offset).into() };
-    let body = record::encode(&record::Record::Accepted(settled)).expect("encodes");
+    let accepted = record::Accepted { version, format: 1, body: fleet::file(offset).into() };
+    let body = record::encode(&record::Record::Accepted(accepted)).expect("encodes");
     logs::Record { offset, unix_millis: 0, body }
 }
 
@@ -268,7 +271,7 @@
 fn a_node_that_starts_runs_what_its_first_read_gives(#[case] hosts: u8) {
     let mut node = alone();
     node.handle(Event::View(view(hosts)), at(3));
-    let batch = logs::Batch { epoch: 0, first: 40, next: 41, records: vec![settled(40)] };
+    let batch = logs::Batch { epoch: 0, first: 40, next: 41, records: vec![accepted(40)] };
     let actions = node.handle(Event::Read { batch: Some(batch), unix_millis: 0 }, at(5));
     assert_eq!(runs(&actions), Some(41));
 }
@@ -277,10 +280,10 @@
 fn a_node_that_starts_reads_a_log_in_parts_to_its_end() {
     let mut node = alone();
     node.handle(Event::View(view(50)), at(3));
-    let batch = logs::Batch { epoch: 0, first: 40, next: 42, records: vec![settled(40)] };
+    let batch = logs::Batch { epoch: 0, first: 40, next: 42, records: vec![accepted(40)] };
     let actions = node.handle(Event::Read { batch: Some(batch), unix_millis: 0 }, at(5));
     assert!(actions.iter().any(|action| matches!(action, Action::Read(_))), "{actions:?}");
-    let batch = logs::Batch { epoch: 0, first: 41, next: 42, records: vec![settled(41)] };
+    let batch = logs::Batch { epoch: 0, first: 41, next: 42, records: vec![accepted(41)] };
     let actions = node.handle(Event::Read { batch: Some(batch), unix_millis: 0 }, at(7));
     assert_eq!(runs(&actions), Some(42));
 }
@@ -299,19 +302,19 @@
 }
 
 #[rstest]
-#[case::nothing_follows(0, 3, 3, vec![], confirm::Tail::Current)]
-#[case::a_successor(0, 3, 4, vec![(3, 3)], confirm::Tail::Newer(version::Version::new(4)))]
-#[case::a_conflict(0, 3, 4, vec![(3, 1)], confirm::Tail::Current)]
-#[case::more_than_was_read(0, 3, 9, vec![(3, 1)], confirm::Tail::Unknown)]
-#[case::a_gap(5, 3, 5, vec![], confirm::Tail::Unknown)]
-fn the_tail_of_the_log_tells(
+#[case::nothing_follows(0, 3, 3, vec![], confirm::Finding::Current)]
+#[case::a_successor(0, 3, 4, vec![(3, 3)], confirm::Finding::Newer(version::Version::new(4)))]
+#[case::a_conflict(0, 3, 4, vec![(3, 1)], confirm::Finding::Current)]
+#[case::more_than_was_read(0, 3, 9, vec![(3, 1)], confirm::Finding::Unknown)]
+#[case::a_gap(5, 3, 5, vec![], confirm::Finding::Unknown)]
+fn the_tail_of_the_log_shows_whether_a_newer_version_exists(
     #[case] first: u64,
     #[case] held: u64,
     #[case] next: u64,
     #[case] bases: Vec<(u64, u64)>,
-    #[case] wanted: confirm::Tail,
+    #[case] expected: confirm::Finding,
 ) {
     let records = bases.iter().map(|&(offset, base)| logs::Record { offset, ..publish(base, 1) });
     let batch = logs::Batch { epoch: 0, first, next, records: records.collect() };
-    assert_eq!(confirm::look(&batch, version::Version::new(held)), wanted);
+    assert_eq!(confirm::check_tail(&batch, version::Version::new(held)), expected);
 }
--- a/src/spread/tests/source.rs
+++ b/src/spread/tests/source.rs
@@ -1,4 +1,4 @@
-//! The log in memory, with the versions it has accepted.
+//! The configuration log in memory, with the versions accepted from it.
 
 use std::collections;
 
@@ -8,14 +8,14 @@
 use crate::logs;
 use crate::version;
 
-/// The config stream.
+/// The `config` stream.
 pub struct Source {
     /// Whether it answers.
     pub up: bool,
-    /// How often it came back from an older copy.
+    /// How often it was restored from an older copy.
     epoch: logs::Epoch,
-    /// Whether it accepts configurations itself, and keeps the newest one aside.
-    settles: bool,
+    /// Whether it accepts configurations itself and returns the newest one only.
+    accepts: bool,
     first: logs::Offset,
     records: Vec<logs::Record>,
     fold: fold::Fold<rules::Builtin>,
@@ -27,7 +27,7 @@
         Self {
             up: true,
             epoch: 0,
-            settles: false,
+            accepts: false,
             first: 0,
             records: Vec::new(),
             fold: fold::Fold::starting_at(rules::Builtin, 0),
@@ -52,26 +52,26 @@
         self.accepted.get(&version)
     }
 
-    /// Appends a publication of `file`.
-    pub fn append(&mut self, base: version::Version, file: &[u8], unix_millis: u64) {
+    /// Appends a publish of `file`.
+    pub fn append_publish(&mut self, base: version::Version, file: &[u8], unix_millis: u64) {
         let id = id::PublishId::derive(base, file);
         let body = Bytes::copy_from_slice(file);
         let publish = record::Publish { format: 1, base, id, body };
         let record = record::encode(&record::Record::Publish(publish)).expect("encodes");
-        self.put(record, unix_millis);
+        self.append_record(record, unix_millis);
     }
 
-    /// Appends the operator's configuration `number`, which the log accepts itself.
-    pub fn settle(&mut self, number: u64, file: &[u8], unix_millis: u64) {
-        self.settles = true;
+    /// Appends configuration `number` as accepted by the log itself.
+    pub fn append_accepted(&mut self, number: u64, file: &[u8], unix_millis: u64) {
+        self.accepts = true;
         let version = version::Version::assigned(number, logs::ordinal(self.epoch, self.next()));
         let body = Bytes::copy_from_slice(file);
-        let settled = record::Accepted { version, format: 1, body };
-        let record = record::encode(&record::Record::Accepted(settled)).expect("encodes");
-        self.put(record, unix_millis);
+        let accepted = record::Accepted { version, format: 1, body };
+        let record = record::encode(&record::Record::Accepted(accepted)).expect("encodes");
+        self.append_record(record, unix_millis);
     }
 
-    /// Comes back from a copy that lacks the last `lost` records.
+    /// Restores the log from a copy that lacks the last `lost` records.
     pub fn restore(&mut self, lost: usize) {
         self.epoch += 1;
         let records = std::mem::take(&mut self.records);
@@ -79,13 +79,15 @@
         let kept = records.len().saturating_sub(lost);
         for record in records.into_iter().take(kept) {
             let decoded = record::decode(&record.body, rules::NEWEST_FORMAT).expect("decodes");
-            let record::Record::Accepted(settled) = decoded else { panic!("not settled") };
-            self.settle(settled.version.number(), &settled.body, record.unix_millis);
+            let record::Record::Accepted(accepted) = decoded else {
+                panic!("not an accepted file")
+            };
+            self.append_accepted(accepted.version.number(), &accepted.body, record.unix_millis);
         }
     }
 
     /// Appends a record.
-    pub fn put(&mut self, body: Bytes, unix_millis: u64) {
+    pub fn append_record(&mut self, body: Bytes, unix_millis: u64) {
         let record = logs::Record { offset: self.next(), unix_millis, body };
         self.fold.apply(record.offset, unix_millis, &record.body);
         self.records.push(record);
@@ -94,14 +96,14 @@
         }
     }
 
-    /// Lets every record expire.
-    pub fn expire(&mut self) {
+    /// Makes every record expire.
+    pub fn expire_all(&mut self) {
         self.first = self.next();
         self.records.clear();
     }
 
-    /// Lets the records before `first` expire.
-    pub fn cut(&mut self, first: logs::Offset) {
+    /// Makes the records before `first` expire.
+    pub fn expire_before(&mut self, first: logs::Offset) {
         self.records.retain(|r| r.offset >= first);
         self.first = first;
     }
@@ -109,7 +111,7 @@
     /// The records from `from` on.
     pub fn read(&self, from: logs::Offset) -> logs::Batch {
         let (epoch, next) = (self.epoch, self.next());
-        if !self.settles {
+        if !self.accepts {
             let records = self.records.iter().filter(|r| r.offset >= from).cloned().collect();
             return logs::Batch { epoch, first: self.first, next, records };
         }
--- a/src/spread/tests/tree.rs
+++ b/src/spread/tests/tree.rs
@@ -1,4 +1,4 @@
-//! The tree and the choice of readers.
+//! The push tree and the order of readers.
 
 use std::collections;
 use std::net;
@@ -15,7 +15,7 @@
     (0..count).map(|n| host::HostId::new((ip(n), 7100).into())).collect()
 }
 
-/// The hosts that hold a version first learned by `first`, with the number of pushes.
+/// The hosts that get a version which `first` learns of, and the number of pushes.
 fn reached(
     zone: &[host::HostId],
     first: host::HostId,
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_stranger_to_the_tree_pushes_to_nobody() {
+fn a_host_outside_the_tree_forwards_to_nobody() {
     let zone = hosts(9);
     let tree = tree::Tree::new(&zone[..8], version::Version::new(3), 4);
     assert!(tree.children(zone[8]).is_empty());
--- a/src/spread/transfer.rs
+++ b/src/spread/transfer.rs
@@ -1,4 +1,4 @@
-//! Transfers over TCP: one request, one answer, each a sealed frame.
+//! Transfers over TCP: one request and one reply, each a sealed frame.
 
 use std::io;
 use std::net;
@@ -19,11 +19,11 @@
 use crate::spread::wire;
 use crate::traffic;
 
-/// Largest request, in bytes.
-const FETCH_BYTES: usize = 256;
+/// Maximum size of a request frame.
+const MAX_FETCH_BYTES: usize = 256;
 
-/// Largest answer, in bytes.
-const SERVED_BYTES: usize = delta::MAX_FILE_BYTES + message::OVERHEAD;
+/// Maximum size of a reply frame.
+const MAX_REPLY_BYTES: usize = delta::MAX_FILE_BYTES + message::MAX_PUSH_OVERHEAD_BYTES;
 
 /// Why a transfer failed.
 #[derive(Debug, thiserror::Error)]
@@ -34,94 +34,97 @@
     /// The connection failed.
     #[error("the connection failed")]
     Io(#[from] io::Error),
-    /// It took too long.
+    /// The transfer exceeded its time limit.
     #[error("the transfer took too long")]
     Timeout(#[from] tokio::time::error::Elapsed),
-    /// A frame is no message of this mesh.
+    /// A frame is not a valid message of this mesh.
     #[error("a frame is not valid")]
     Wire(#[from] wire::Error),
 }
 
-/// What transfers need of their node.
+/// The parts of a node that its transfers share.
 #[derive(Clone)]
-pub struct Link {
+pub struct Transport {
     /// Seal of the mesh.
     pub seal: seal::Seal,
     /// Counters of control traffic.
     pub traffic: Arc<traffic::Traffic>,
-    /// Longest time of a whole transfer.
-    pub limit: time::Duration,
+    /// Longest time of a complete transfer.
+    pub timeout: time::Duration,
 }
 
-/// Asks the host at `address` for what it holds.
+/// Requests the newest version from the host at `address`.
 ///
 /// # Errors
 ///
-/// Fails when the host can't be reached, is not of this mesh, or takes too long.
+/// Fails when the host can't be reached, does not belong to this mesh, or takes too long.
 pub async fn fetch(
-    link: &Link,
+    transport: &Transport,
     address: net::SocketAddr,
     fetch: &message::Fetch,
-) -> Result<message::Served, Error> {
+) -> Result<message::FetchReply, Error> {
     let transfer = async {
         let stream = anet::TcpStream::connect(address).await?;
-        let mut frames = framed(stream, SERVED_BYTES);
-        write(link, &mut frames, fetch).await?;
-        read(link, &mut frames).await
+        let mut frames = framed(stream, MAX_REPLY_BYTES);
+        write(transport, &mut frames, fetch).await?;
+        read(transport, &mut frames).await
     };
-    tokio::time::timeout(link.limit, transfer).await?
+    tokio::time::timeout(transport.timeout, transfer).await?
 }
 
-/// Reads the request of a connection that was opened to this node.
+/// Reads the request from a connection that another node opened.
 ///
 /// # Errors
 ///
-/// Fails when the other side is not of this mesh or takes too long.
+/// Fails when the other node does not belong to this mesh or takes too long.
 pub async fn request(
-    link: &Link,
+    transport: &Transport,
     stream: anet::TcpStream,
 ) -> Result<(message::Fetch, Frames), Error> {
-    let mut frames = framed(stream, FETCH_BYTES);
-    let fetch = tokio::time::timeout(link.limit, read(link, &mut frames)).await??;
+    let mut frames = framed(stream, MAX_FETCH_BYTES);
+    let fetch = tokio::time::timeout(transport.timeout, read(transport, &mut frames)).await??;
     Ok((fetch, frames))
 }
 
-/// Answers a request.
+/// Replies to a request.
 ///
 /// # Errors
 ///
-/// Fails when the other side has gone or takes too long.
+/// Fails when the connection is closed or the other node takes too long.
 pub async fn answer(
-    link: &Link,
+    transport: &Transport,
     mut frames: Frames,
-    served: &message::Served,
+    reply: &message::FetchReply,
 ) -> Result<(), Error> {
-    frames.codec_mut().set_max_frame_length(SERVED_BYTES);
-    tokio::time::timeout(link.limit, write(link, &mut frames, served)).await?
+    frames.codec_mut().set_max_frame_length(MAX_REPLY_BYTES);
+    tokio::time::timeout(transport.timeout, write(transport, &mut frames, reply)).await?
 }
 
 /// A connection as a sequence of frames.
 pub type Frames<S = anet::TcpStream> = codec::Framed<S, codec::LengthDelimitedCodec>;
 
-fn framed<S: aio::AsyncRead + aio::AsyncWrite>(stream: S, most: usize) -> Frames<S> {
-    codec::LengthDelimitedCodec::builder().max_frame_length(most).new_framed(stream)
+fn framed<S: aio::AsyncRead + aio::AsyncWrite>(stream: S, max_bytes: usize) -> Frames<S> {
+    codec::LengthDelimitedCodec::builder().max_frame_length(max_bytes).new_framed(stream)
 }
 
 async fn write<T: ser::Serialize>(
-    link: &Link,
+    transport: &Transport,
     frames: &mut Frames,
     message: &T,
 ) -> Result<(), Error> {
-    let bytes = wire::encode(&link.seal, message)?;
-    link.traffic.of(traffic::Purpose::Spread).sent(bytes.len());
+    let bytes = wire::encode(&transport.seal, message)?;
+    transport.traffic.of(traffic::Purpose::Spread).sent(bytes.len());
     Ok(frames.send(bytes).await?)
 }
 
-async fn read<T: de::DeserializeOwned>(link: &Link, frames: &mut Frames) -> Result<T, Error> {
+async fn read<T: de::DeserializeOwned>(
+    transport: &Transport,
+    frames: &mut Frames,
+) -> Result<T, Error> {
     let bytes = frames.next().await.ok_or(Error::Closed)??;
-    let counts = link.traffic.of(traffic::Purpose::Spread);
+    let counts = transport.traffic.of(traffic::Purpose::Spread);
     counts.received(bytes.len());
-    wire::decode(&link.seal, &bytes).map_err(|e| {
+    wire::decode(&transport.seal, &bytes).map_err(|e| {
         counts.dropped();
         e.into()
     })
--- a/src/spread/tree.rs
+++ b/src/spread/tree.rs
@@ -1,7 +1,8 @@
-//! Who reads the log and who pushes to whom, computed alike by every node from its own view.
+//! Choice of the hosts that read the log, and the tree along which versions are pushed. Every node
+//! computes both from its own view of the hosts.
 //!
-//! Two nodes whose views differ may compute different readers or trees. The first costs an extra
-//! reader; the second leaves a host to the repair by pulls or sends it a version twice.
+//! Nodes with different views may compute different readers, which costs an extra reader, or
+//! different trees, so that a host gets a version twice or only by a pull.
 
 use std::cmp;
 
@@ -11,20 +12,20 @@
 const READER: u64 = 0x7265_6164;
 const TREE: u64 = 0x7472_6565;
 
-/// The hosts of `zone` in the order in which they are due to read the log.
+/// The hosts of `zone` in the order in which they are chosen as readers of the log.
 ///
-/// Rendezvous hashing: a host that comes or goes moves nobody else's place relative to another.
+/// By rendezvous hashing: a host that joins or leaves does not change the order of the others.
 pub fn readers(zone: &[host::HostId]) -> Vec<host::HostId> {
     sorted(zone, READER, 0)
 }
 
-/// The push tree of one version, or rather its top hosts and who is below whom.
+/// The push tree of one version: its top hosts, and the children of each host.
 ///
-/// The tree has no root of its own: whoever learns of the version first, one host or several,
-/// pushes to the top hosts as well as to the hosts below itself. So the tree depends on the version
-/// and the zone only, and no message needs to name a root.
+/// No host is the root. Each host that learns of the version from outside the tree pushes to the
+/// top hosts and to its own children. So the tree depends on the version and the zone only, and no
+/// message needs to name a root.
 ///
-/// Invariant: `order` holds no host twice.
+/// Invariant: `order` contains no host twice.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Tree {
     order: Vec<host::HostId>,
@@ -32,24 +33,24 @@
 }
 
 impl Tree {
-    /// The tree over `zone` for `version`.
+    /// The tree of the hosts of `zone` for `version`.
     pub fn new(zone: &[host::HostId], version: version::Version, fanout: u8) -> Self {
         let order = sorted(zone, TREE, version.number());
         Self { order, fanout: usize::from(cmp::max(fanout, 1)) }
     }
 
-    /// The hosts to which a host pushes that learned of the version first.
+    /// The hosts at the top of the tree.
     pub fn top(&self) -> &[host::HostId] {
         self.slice(0)
     }
 
-    /// The hosts to which `host` pushes; none when it is not in the tree.
+    /// The hosts to which `host` forwards the version; none when it is not in the tree.
     pub fn children(&self, host: host::HostId) -> &[host::HostId] {
         let place = self.order.iter().position(|&h| h == host);
         place.map_or(&[], |place| self.slice((place + 1) * self.fanout))
     }
 
-    /// Pushes one after the other from the first host to the furthest one.
+    /// Number of levels, which is the number of pushes on the longest path through the tree.
     pub fn depth(&self) -> usize {
         let mut depth = 0;
         let mut place = self.order.len();
--- a/src/spread/wire.rs
+++ b/src/spread/wire.rs
@@ -1,4 +1,4 @@
-//! Sealed postcard bodies, for datagrams and frames alike.
+//! Encoding of datagrams and frames: a postcard body under a seal.
 
 use bytes::Bytes;
 use serde::de;
@@ -6,13 +6,13 @@
 
 use crate::seal;
 
-/// Why bytes from outside are no message.
+/// Why received bytes are not a valid message.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The tag is not this mesh's.
+    /// The tag was not made with this mesh's key.
     #[error("the message does not belong to this mesh")]
     Seal(#[from] seal::Error),
-    /// The body does not decode.
+    /// The body is not a message in postcard.
     #[error("the message does not decode")]
     Decode(#[from] postcard::Error),
     /// Bytes follow the message.
@@ -20,7 +20,7 @@
     Trailing(usize),
 }
 
-/// The seal of configuration messages of `mesh`; no message of another duty passes it.
+/// The seal for the distribution's messages in `mesh`; it rejects messages of other duties.
 pub fn seal(mesh: &str, key: &str) -> seal::Seal {
     seal::Seal::new(&format!("{mesh}\0spread"), key)
 }
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 ///
-/// Fails when postcard can't encode it, which no message type here brings about.
+/// Fails when postcard can't encode the message, which does not happen with the types used here.
 pub fn encode<T: ser::Serialize>(seal: &seal::Seal, message: &T) -> Result<Bytes, Error> {
     Ok(seal.seal(&postcard::to_stdvec(message)?).into())
 }
