--- a/src/fold/follow.rs
+++ b/src/fold/follow.rs
@@ -1,12 +1,12 @@
-//! Follows the `config` stream of a log service and folds it.
+//! Reads the `config` stream from a log service and replays it.
 
 use std::time;
 
 use crate::fold::{self, reader, rules};
 use crate::logs;
 
-/// Records in one read.
-const MOST: u32 = 64;
+/// Largest number of records in one read.
+const MAX_RECORDS: u32 = 64;
 
 /// A [`reader::Reader`] with the log service it reads.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
         Self { service, reader: reader::Reader::new(rules) }
     }
 
-    /// The state so far.
+    /// The state after the records read so far.
     pub const fn fold(&self) -> &fold::Fold<R> {
         self.reader.fold()
     }
@@ -50,7 +50,8 @@
         self.reader.needs_snapshot()
     }
 
-    /// Reads once and judges what came. At the end of the stream waits up to `wait` for more.
+    /// Reads and judges the next records; at the end of the stream, waits up to `wait` for them.
+    /// The first call reads twice, as the first read only gives the bounds of the stream.
     pub async fn step(
         &mut self,
         wait: time::Duration,
@@ -59,16 +60,16 @@
             self.read(0, time::Duration::ZERO).await?;
         }
         let wait = if self.reader.searching() { time::Duration::ZERO } else { wait };
-        self.read(MOST, wait).await
+        self.read(MAX_RECORDS, wait).await
     }
 
     async fn read(
         &mut self,
-        most: u32,
+        max: u32,
         wait: time::Duration,
     ) -> Result<Vec<fold::Judged<R::Faults>>, S::Error> {
         let from = self.reader.from();
-        let batch = self.service.read(logs::streams::CONFIG, from, most, wait).await?;
+        let batch = self.service.read(logs::streams::CONFIG, from, max, wait).await?;
         Ok(self.reader.apply_batch(&batch))
     }
 }
--- a/src/fold/id.rs
+++ b/src/fold/id.rs
@@ -1,4 +1,4 @@
-//! Names of publishes.
+//! Identifiers of publishes.
 
 use std::fmt;
 use std::str;
@@ -7,22 +7,22 @@
 
 use crate::version;
 
-/// Bytes of a publish id.
+/// Length of a publish id.
 const ID_BYTES: usize = 16;
 
-/// Names one publish, whose record may stand in the log more than once.
+/// Identifies one publish, whose record may be in the log more than once.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct PublishId([u8; ID_BYTES]);
 
 impl PublishId {
-    /// The id of that name.
+    /// The id with these bytes.
     pub const fn new(bytes: [u8; ID_BYTES]) -> Self {
         Self(bytes)
     }
 
-    /// The id of publishing `file` as the successor of `base`: the same each time, so that a
+    /// The id of publishing `file` as the successor of `base`. It is always the same, so that a
     /// command run twice is one publish.
     pub fn derive(base: version::Version, file: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key("dandelionspool publish id 1");
--- a/src/fold/mod.rs
+++ b/src/fold/mod.rs
@@ -1,8 +1,8 @@
 //! Acceptance of configurations: a pure fold over the log.
 //!
 //! Every node that reads the `config` stream comes to the same verdict on every record, without a
-//! leader, a lease or a quorum, because the log gives the order and the verdict depends on nothing
-//! else. `docs/design/configuration-log.md` has the reasons.
+//! leader, a lease or a quorum, because a verdict depends only on the records and their order in
+//! the log. `docs/design/configuration-log.md` gives the reasons for this design.
 
 use std::sync::Arc;
 
@@ -24,70 +24,73 @@
 /// The accepted configuration.
 #[derive(Clone, Debug)]
 pub struct Accepted {
-    /// Its version and digest.
+    /// The version with its digest.
     pub version_id: version::VersionId,
-    /// Format of its file, whose rules it obeys.
+    /// Format of the file, by whose rules it is valid.
     pub format: u16,
-    /// Its file as published; `version_id.digest` is its digest.
+    /// The file as published; `version_id.digest` is its digest.
     pub body: Bytes,
-    /// What the file says.
+    /// The parsed file.
     pub mesh: Arc<mesh::Mesh>,
 }
 
-/// What the fold makes of one record.
+/// The fold's verdict on one record.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Verdict<F> {
-    /// A publish that is now the current version.
+    /// A publish that is the current version from now on.
     Accepted(version::VersionId),
-    /// A publish made from another version than the current one; no effect.
+    /// A publish based on another version than the current one; no effect.
     Conflict {
         /// The current version.
         current: version::Version,
     },
     /// A publish whose file breaks the rules of its format; no effect.
     Invalid {
-        /// What is wrong with it.
+        /// All faults found in the file.
         faults: F,
     },
-    /// A publish whose id was seen before; no effect.
+    /// A publish whose id has occurred before; no effect.
     Repeated {
-        /// What became of the first one.
+        /// The outcome of the first one.
         first: outcomes::Outcome,
     },
-    /// A snapshot that gave the state; read on from [`Fold::next`], which has moved back.
+    /// A snapshot that gave the state; the next read starts at [`Fold::next`], which may have moved
+    /// back.
     Adopted(version::VersionId),
-    /// A snapshot of a state that is known already; no effect.
+    /// A snapshot of a state that was known already; no effect.
     Known(version::VersionId),
-    /// A snapshot that contradicts itself or the known state; no effect.
+    /// A snapshot that is inconsistent in itself or with the known state; no effect.
     Disputed(version::VersionId),
-    /// A publish seen while the state before it is not known; a snapshot will tell.
+    /// A publish, or a snapshot that does not cover all missed records, while the state is not
+    /// known; a later snapshot will give the state.
     Unjudged,
-    /// A record of a format this build does not know; the state after it is not known.
+    /// A record of a format that this build does not know; the state after it is not known.
     Newer {
         /// The record's format.
         format: u16,
     },
-    /// Not a record of the system; every build of every format ignores it.
+    /// Not a record of the system; builds of every format ignore it.
     Undecodable,
-    /// Judged before.
+    /// A record that has been judged before.
     Stale,
 }
 
 /// A record's offset and verdict.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Judged<F> {
-    /// Its place.
+    /// The record's offset.
     pub offset: logs::Offset,
-    /// What the fold makes of it.
+    /// The verdict on it.
     pub verdict: Verdict<F>,
 }
 
-/// The latest place in the log that a joiner can start from: its beginning or a snapshot.
+/// The latest position in the log from which a new reader learns the state: the beginning of the
+/// log or a snapshot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ReplayStart {
-    /// A joiner that starts here or earlier comes to know the state.
+    /// A new reader that starts at this offset or an earlier one learns the state.
     pub next_offset: logs::Offset,
-    /// When its record was appended, in milliseconds since the Unix epoch.
+    /// When the first record or the snapshot was appended, in milliseconds since the Unix epoch.
     pub unix_millis: u64,
 }
 
@@ -95,20 +98,20 @@
 #[derive(Clone, Debug)]
 pub struct Fold<R> {
     rules: R,
-    /// Never replaced by an older version.
+    /// The accepted configuration; never replaced by an older version.
     current: Option<Accepted>,
     outcomes: outcomes::Outcomes,
-    /// Offset of the record to judge next.
+    /// Offset of the next record to judge.
     next: logs::Offset,
-    /// While set, the state is not known, and only a snapshot that covers all records before this
-    /// offset can tell it.
+    /// Set while the state is not known: a snapshot that covers all records before this offset, or
+    /// a file accepted by the log service, makes it known.
     gap: Option<logs::Offset>,
     replay_start: Option<ReplayStart>,
 }
 
 impl<R: rules::Rules> Fold<R> {
-    /// A fold that starts at `offset`. Its state is known at once if `offset` is 0, otherwise
-    /// after a snapshot.
+    /// A fold that starts at `offset`. Its state is known at once if `offset` is 0, otherwise after
+    /// a snapshot.
     pub fn starting_at(rules: R, offset: logs::Offset) -> Self {
         Self {
             rules,
@@ -120,38 +123,38 @@
         }
     }
 
-    /// The accepted configuration; while [`Fold::state_known`] is false there may be a later one.
+    /// The accepted configuration; there may be a later one while [`Fold::state_known`] is false.
     pub const fn current(&self) -> Option<&Accepted> {
         self.current.as_ref()
     }
 
-    /// The accepted version, [`version::Version::NONE`] when there is none.
+    /// The accepted version; [`version::Version::NONE`] when there is none.
     pub fn version(&self) -> version::Version {
         self.current.as_ref().map_or(version::Version::NONE, |c| c.version_id.version)
     }
 
-    /// Offset to read from.
+    /// Offset to read the next records from.
     pub const fn next(&self) -> logs::Offset {
         self.next
     }
 
-    /// Whether the state after every record before [`Fold::next`] is known.
+    /// Whether the state after all records before [`Fold::next`] is known.
     pub const fn state_known(&self) -> bool {
         self.gap.is_none()
     }
 
-    /// The latest place seen that a joiner can start from.
+    /// The latest position from which a new reader learns the state, as far as records were read.
     pub const fn replay_start(&self) -> Option<ReplayStart> {
         self.replay_start
     }
 
-    /// What became of the publish called `id`, while it is remembered.
+    /// The outcome of the publish `id`, if it is still kept.
     pub fn outcome(&self, id: id::PublishId) -> Option<outcomes::Outcome> {
         self.outcomes.get(id)
     }
 
-    /// Judges the records of `batch`, read from [`Fold::next`] on. Ends early after a snapshot
-    /// that was adopted, because the next read starts elsewhere.
+    /// Judges the records of `batch`, which was read from [`Fold::next`]. Stops after a snapshot
+    /// that was adopted, because the next read starts at another offset.
     pub fn apply_batch(&mut self, batch: &logs::Batch) -> Vec<Judged<R::Faults>> {
         self.skip_expired(batch.first);
         let mut judged = Vec::with_capacity(batch.records.len());
@@ -166,7 +169,8 @@
         judged
     }
 
-    /// Learns that records before `first` have expired.
+    /// Skips the records before `first`, which have expired. If that leaves a gap, the state is no
+    /// longer known.
     pub fn skip_expired(&mut self, first: logs::Offset) {
         if first > self.next {
             self.next = first;
@@ -200,7 +204,7 @@
         }
     }
 
-    /// The record of a snapshot of this state, if there is something to keep and it is known.
+    /// Encodes a snapshot of the state; `None` if the state is not known or no version is accepted.
     pub fn encode(&self) -> Result<Option<Bytes>, record::Error> {
         let Some(accepted) = self.current.as_ref().filter(|_| self.state_known()) else {
             return Ok(None);
@@ -238,35 +242,31 @@
 
     fn accept(&mut self, publish: record::Publish, mesh: mesh::Mesh) -> Verdict<R::Faults> {
         let version = version::Version::new(self.next);
-        let stamp = version::VersionId { version, digest: version::Digest::of(&publish.body) };
-        self.outcomes.put(publish.id, outcomes::Outcome::Accepted(stamp));
+        let version_id = version::VersionId { version, digest: version::Digest::of(&publish.body) };
+        self.outcomes.put(publish.id, outcomes::Outcome::Accepted(version_id));
         self.current = Some(Accepted {
-            version_id: stamp,
+            version_id,
             format: publish.format,
             body: publish.body,
             mesh: Arc::new(mesh),
         });
-        Verdict::Accepted(stamp)
+        Verdict::Accepted(version_id)
     }
 
-    /// Takes a file that the log service accepted; it needs none of the records before it.
+    /// Applies a file that the log service has accepted. The records before it do not matter.
     fn accept_from_service(&mut self, accepted: record::Accepted) -> Verdict<R::Faults> {
         let digest = version::Digest::of(&accepted.body);
-        let stamp = version::VersionId { version: accepted.version, digest };
+        let version_id = version::VersionId { version: accepted.version, digest };
         let mesh = match self.rules.check(accepted.format, &accepted.body) {
             Ok(mesh) => Arc::new(mesh),
             Err(faults) => return Verdict::Invalid { faults },
         };
         self.gap = None;
-        // The log service keeps what it accepted: no snapshot is needed for those who come later.
+        // The log service keeps the file that it accepted, so that no snapshots are needed.
         self.replay_start = None;
-        self.current = Some(Accepted {
-            version_id: stamp,
-            format: accepted.format,
-            body: accepted.body,
-            mesh,
-        });
-        Verdict::Accepted(stamp)
+        self.current =
+            Some(Accepted { version_id, format: accepted.format, body: accepted.body, mesh });
+        Verdict::Accepted(version_id)
     }
 
     fn snapshot(
@@ -275,32 +275,32 @@
         unix_millis: u64,
         snapshot: record::Snapshot,
     ) -> Verdict<R::Faults> {
-        let stamp = snapshot.version_id;
+        let version_id = snapshot.version_id;
         if self.gap.is_some_and(|from| snapshot.next_offset < from) {
             return Verdict::Unjudged;
         }
         if !snapshot.consistent(offset) || self.contradicts(&snapshot) {
-            return Verdict::Disputed(stamp);
+            return Verdict::Disputed(version_id);
         }
         let replay_start = ReplayStart { next_offset: snapshot.next_offset, unix_millis };
         if !self.state_known() {
             return self.adopt(snapshot, replay_start);
         }
-        self.advance_replay_start(replay_start, stamp);
-        Verdict::Known(stamp)
+        self.advance_replay_start(replay_start, version_id);
+        Verdict::Known(version_id)
     }
 
-    /// Moves the replay_start forward to `replay_start`, a snapshot of `stamp`. One that a publish has overtaken
-    /// is left out, since its stamp can't be compared any more.
-    fn advance_replay_start(&mut self, replay_start: ReplayStart, stamp: version::VersionId) {
+    /// Moves the replay start forward to a snapshot of `version_id`. A snapshot of an older version
+    /// than the current one is ignored, since it can't be checked against the state any more.
+    fn advance_replay_start(&mut self, replay_start: ReplayStart, version_id: version::VersionId) {
         let later = self.replay_start.is_none_or(|a| a.next_offset <= replay_start.next_offset);
-        if later && self.current.as_ref().is_some_and(|c| c.version_id == stamp) {
+        if later && self.current.as_ref().is_some_and(|c| c.version_id == version_id) {
             self.replay_start = Some(replay_start);
         }
     }
 
-    /// Whether the snapshot, which covers all that this fold has missed, can't be of the log that
-    /// this fold has read.
+    /// Whether the snapshot, which covers all records that this fold has missed, contradicts the
+    /// records that it has read.
     fn contradicts(&self, snapshot: &record::Snapshot) -> bool {
         let Some(current) = &self.current else {
             return false;
@@ -318,21 +318,17 @@
         snapshot: record::Snapshot,
         replay_start: ReplayStart,
     ) -> Verdict<R::Faults> {
-        let stamp = snapshot.version_id;
+        let version_id = snapshot.version_id;
         let Ok(mesh) = self.rules.check(snapshot.format, &snapshot.body) else {
-            return Verdict::Disputed(stamp);
+            return Verdict::Disputed(version_id);
         };
         let mesh = Arc::new(mesh);
-        self.current = Some(Accepted {
-            version_id: stamp,
-            format: snapshot.format,
-            body: snapshot.body,
-            mesh,
-        });
+        self.current =
+            Some(Accepted { version_id, format: snapshot.format, body: snapshot.body, mesh });
         self.outcomes = snapshot.outcomes;
         self.next = snapshot.next_offset;
         self.gap = None;
         self.replay_start = Some(replay_start);
-        Verdict::Adopted(stamp)
+        Verdict::Adopted(version_id)
     }
 }
--- a/src/fold/outcomes.rs
+++ b/src/fold/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes of what became of recent publishes.
+//! Outcomes of recent publishes.
 
 use std::collections;
 
@@ -7,39 +7,40 @@
 use crate::fold::id;
 use crate::version;
 
-/// Publishes remembered. An older one that is repeated is judged again, which does no harm: what
-/// was accepted has moved the version past its base, so it is a conflict now.
+/// Largest number of outcomes kept. A repeated publish that is no longer among them is judged
+/// again, which does no harm: if it was accepted, the current version is past its base, so that it
+/// is now a conflict.
 pub const MAX_OUTCOMES: usize = 512;
 
-/// What became of a publish.
+/// The outcome of a publish.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Outcome {
     /// It became a version.
     Accepted(version::VersionId),
-    /// It was made from another version than the current one.
+    /// It was based on another version than the current one.
     Conflict {
-        /// The version current then.
+        /// The current version at that time.
         current: version::Version,
     },
     /// Its file breaks the rules of its format.
     Invalid,
 }
 
-/// The last publishes with their outcomes.
+/// The most recent publishes with their outcomes.
 ///
-/// Invariant: at most [`MAX_OUTCOMES`] entries, in the order of the log, without duplicate ids.
+/// Invariant: at most [`MAX_OUTCOMES`] entries in the order of the log, each with another id.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Outcomes {
     entries: collections::VecDeque<(id::PublishId, Outcome)>,
 }
 
 impl Outcomes {
-    /// What became of the publish called `id`.
+    /// The outcome of the publish `id`, if it is kept.
     pub fn get(&self, id: id::PublishId) -> Option<Outcome> {
         self.entries.iter().find(|(other, _)| *other == id).map(|(_, outcome)| *outcome)
     }
 
-    /// Remembers `outcome` and forgets the oldest one when there are too many.
+    /// Adds the outcome of the publish `id` and drops the oldest one when there are too many.
     pub fn put(&mut self, id: id::PublishId, outcome: Outcome) {
         self.entries.push_back((id, outcome));
         if self.entries.len() > MAX_OUTCOMES {
@@ -47,12 +48,12 @@
         }
     }
 
-    /// Number of publishes remembered.
+    /// Number of outcomes kept.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether no outcome is kept.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/src/fold/record.rs
+++ b/src/fold/record.rs
@@ -1,8 +1,9 @@
 //! Records of the `config` stream.
 //!
-//! A record is a mark of 4 bytes, the format (2 bytes, little-endian) and the content as postcard.
-//! Bytes without the mark are not ours. The format numbers the layout of the content and the rules
-//! for files alike, so that a build knows from the first 6 bytes whether it can judge the rest.
+//! A record consists of a mark of 4 bytes, the format (2 bytes, little-endian) and the content in
+//! postcard. Bytes without the mark are ignored. The format stands for both the layout of the
+//! content and the rules for files, so that a build knows from the first 6 bytes whether it can
+//! judge the record.
 
 use std::io;
 
@@ -18,17 +19,17 @@
 /// First bytes of every record.
 const MARK: [u8; 4] = *b"dspc";
 
-/// Bytes before the content.
-const HEAD_BYTES: usize = MARK.len() + 2;
+/// Number of bytes before the content: mark and format.
+const HEADER_BYTES: usize = MARK.len() + 2;
 
-/// A file that is to become the next version.
+/// A file that an operator publishes as the next version.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Publish {
     /// Format of the file.
     pub format: u16,
-    /// Version it was made from.
+    /// The version that the file is based on.
     pub base: version::Version,
-    /// Its name.
+    /// Identifier of the publish.
     pub id: id::PublishId,
     /// The file.
     pub body: Bytes,
@@ -36,11 +37,11 @@
 
 /// A file that the log service itself has accepted.
 ///
-/// It is the version that the service has given it whatever came before it, so that a reader that missed
-/// records needs no other one.
+/// Its version does not depend on earlier records, so that a reader that missed some needs no
+/// snapshot.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Accepted {
-    /// Its version.
+    /// The version that the log service assigned.
     pub version: version::Version,
     /// Format of the file.
     pub format: u16,
@@ -48,29 +49,29 @@
     pub body: Bytes,
 }
 
-/// The state after the records before `next_offset`.
+/// Snapshot of the state after all records before `next_offset`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Snapshot {
     /// Format of the file.
     pub format: u16,
     /// The current version.
     pub version_id: version::VersionId,
-    /// Offset of the first record that is not part of the state.
+    /// Offset of the first record that the state does not include.
     pub next_offset: logs::Offset,
-    /// Recent publishes.
+    /// Outcomes of recent publishes.
     pub outcomes: outcomes::Outcomes,
     /// The current version's file.
     pub body: Bytes,
 }
 
-/// A decoded record; bodies are not compressed.
+/// A decoded record, with its body decompressed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Record {
-    /// A file to be judged.
+    /// A published file, which the readers judge.
     Publish(Publish),
-    /// State kept for those who can't read the records it came from.
+    /// A snapshot for readers that can't read the records before it.
     Snapshot(Snapshot),
-    /// An accepted file.
+    /// A file that the log service has accepted.
     Accepted(Accepted),
 }
 
@@ -80,10 +81,10 @@
     /// The mark is missing.
     #[error("not a record of the system")]
     Foreign,
-    /// The format is newer than this build.
+    /// The format is newer than the newest one that this build knows.
     #[error("format {0} is not known")]
     Format(u16),
-    /// The content is not what its format says.
+    /// The content does not have the layout of its format.
     #[error("the content of the record is malformed")]
     Content(#[from] postcard::Error),
     /// The body does not decompress within its limit.
@@ -91,7 +92,7 @@
     Body(#[from] io::Error),
 }
 
-/// Content of formats from 1 on, with compressed bodies.
+/// Content of a record in all formats so far, with compressed bodies.
 #[derive(Deserialize, Serialize)]
 enum Content {
     Publish {
@@ -111,7 +112,7 @@
     },
 }
 
-/// Encodes `record`, whose body has at most [`delta::MAX_FILE_BYTES`].
+/// Encodes `record`; fails if its body is larger than [`delta::MAX_FILE_BYTES`].
 pub fn encode(record: &Record) -> Result<Bytes, Error> {
     if record.body().len() > delta::MAX_FILE_BYTES {
         return Err(Error::Body(io::ErrorKind::FileTooLarge.into()));
@@ -123,12 +124,12 @@
         }
         Record::Snapshot(s) => {
             let (outcomes, frame) = (s.outcomes.clone(), frame::compress(&s.body)?);
-            let (stamp, next_offset) = (s.version_id, s.next_offset);
-            (s.format, Content::Snapshot { version_id: stamp, next_offset, outcomes, frame })
+            let (version_id, next_offset) = (s.version_id, s.next_offset);
+            (s.format, Content::Snapshot { version_id, next_offset, outcomes, frame })
         }
-        // Made of what the log service holds by the node that reads it, and never sent.
+        // The node that reads the log service makes this record for itself; it is never sent.
         Record::Accepted(s) => {
-            let frame = frame::compress_passing(&s.body)?;
+            let frame = frame::compress_fast(&s.body)?;
             (s.format, Content::Accepted { version: s.version, frame })
         }
     };
@@ -139,7 +140,7 @@
 
 /// Decodes a record of a format up to `newest`.
 pub fn decode(bytes: &[u8], newest: u16) -> Result<Record, Error> {
-    let (head, rest) = bytes.split_at_checked(HEAD_BYTES).ok_or(Error::Foreign)?;
+    let (head, rest) = bytes.split_at_checked(HEADER_BYTES).ok_or(Error::Foreign)?;
     let Some(&[low, high]) = head.strip_prefix(&MARK) else {
         return Err(Error::Foreign);
     };
@@ -174,8 +175,8 @@
 }
 
 impl Snapshot {
-    /// Whether the snapshot, found at `offset`, can be true: it covers no record after itself, its
-    /// version is one that it covers, and its file is the version's.
+    /// Whether the snapshot, found at `offset`, is consistent: it covers only records before
+    /// itself, its version is among these, and its file has the version's digest.
     pub fn consistent(&self, offset: logs::Offset) -> bool {
         self.next_offset <= offset
             && self.version_id.version.number() <= self.next_offset
--- a/src/fold/rules.rs
+++ b/src/fold/rules.rs
@@ -1,16 +1,16 @@
-//! Rules of validity, frozen for each format of file.
+//! Validation rules for configuration files, which never change for a given format.
 
 use crate::mesh;
 
-/// Judges files. Builds that know a format judge every file of it alike.
+/// Validation of files. All builds that know a format must judge its files in the same way.
 pub trait Rules {
-    /// What can be wrong with a file.
+    /// The faults of an invalid file.
     type Faults;
 
-    /// The newest format known; older ones down to 1 are known too.
+    /// The newest format known; all older ones from 1 on are known too.
     fn newest(&self) -> u16;
 
-    /// What a file of `format` says, or everything that is wrong with it.
+    /// Parses a file of `format`, or returns all its faults.
     fn check(&self, format: u16, file: &[u8]) -> Result<mesh::Mesh, Self::Faults>;
 }
 
@@ -18,10 +18,10 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Builtin;
 
-/// The newest format this build knows.
+/// The newest format that this build knows.
 pub const NEWEST_FORMAT: u16 = 4;
 
-/// The newest format without orders of roll-outs.
+/// The newest format without roll-out orders.
 pub const LAST_FORMAT_WITHOUT_ORDERS: u16 = 3;
 
 impl Rules for Builtin {
--- a/src/fold/snapshot.rs
+++ b/src/fold/snapshot.rs
@@ -1,9 +1,9 @@
-//! When the accepted state is appended again.
+//! Decides when a node appends a snapshot of the accepted state to the log.
 //!
-//! Records expire, so somebody has to append the state before its record does. Any node that reads
-//! the log may: each waits for a while that depends on its rank and a random number, and looks at
-//! the log again before it appends. Nobody is elected; a second snapshot costs its bytes only,
-//! since the fold ignores it.
+//! Records expire, so a snapshot has to be appended before the record of the state does. Any node
+//! that reads the log may append it: each waits for a time that depends on its rank and a random
+//! number, and reads the log again before it appends. No node is elected; a second snapshot only
+//! costs its bytes, since the fold ignores it.
 
 use std::time;
 
@@ -15,84 +15,86 @@
 use crate::fold;
 use crate::logs;
 
-/// Records after the replay_start at which a snapshot is due, so that a joiner reads few of them.
+/// Number of records after the replay start at which a snapshot is due, so that a new reader has
+/// few records to read.
 pub const INTERVAL_RECORDS: u64 = 256;
 
-/// Time between the turns of two ranks, enough for a snapshot to be appended and read.
-const TURN: time::Duration = time::Duration::from_secs(2);
+/// Delay of each rank after the one before it; long enough to append a snapshot and read it.
+const RANK_DELAY: time::Duration = time::Duration::from_secs(2);
 
-/// Time until the next try when a snapshot that should be there is not.
-const RETRY: time::Duration = time::Duration::from_secs(30);
+/// Time until the next attempt when an appended snapshot has not appeared in the log.
+const RETRY_DELAY: time::Duration = time::Duration::from_secs(30);
 
-/// Share of the retained records, counted from the oldest, in which the replay_start is due: 1 of 4.
-const OLD_SHARE: u64 = 4;
+/// A snapshot is due when the replay start is among the oldest records that are kept: in the first
+/// part of this many equal parts.
+const OLD_DIVISOR: u64 = 4;
 
-/// What the decision depends on.
+/// The input of the decision.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct State {
-    /// Where a joiner can start; `None` while there is nothing to keep or it is not known.
+    /// Where a new reader can start; `None` while no version is accepted or the state is not known.
     pub replay_start: Option<fold::ReplayStart>,
-    /// Oldest offset kept by the log.
+    /// Offset of the oldest record that the log keeps.
     pub first: logs::Offset,
     /// Offset of the next append.
     pub next: logs::Offset,
-    /// This host's place among those that read the log; 0 is first.
+    /// This host's rank among the readers of the log, from 0.
     pub rank: u32,
     /// Wall-clock time in milliseconds since the Unix epoch.
     pub unix_millis: u64,
 }
 
-/// Append a snapshot now.
+/// Decision to append a snapshot now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Write;
 
 /// Decides when this node appends a snapshot.
 #[derive(Debug)]
 pub struct Policy {
-    /// How long the log keeps records at least.
+    /// Minimum time for which the log keeps a record.
     retention: time::Duration,
     rng: SmallRng,
-    /// When this node's turn comes; `None` while no snapshot is due.
+    /// When this node appends; `None` while no snapshot is due.
     turn: Option<clock::Instant>,
 }
 
 impl Policy {
-    /// A policy for a log that keeps records for `retention` at least.
+    /// A policy for a log that keeps records for at least `retention`.
     pub fn new(retention: time::Duration, seed: u64) -> Self {
         Self { retention, rng: SmallRng::seed_from_u64(seed), turn: None }
     }
 
-    /// Decides at `now`; to be called at least every few seconds, after reading the log to its end.
+    /// Decides at `now`. Call it at least every few seconds, after a read to the end of the log.
     pub fn handle(&mut self, now: clock::Instant, state: &State) -> Option<Write> {
         if !self.due(state) {
             self.turn = None;
             return None;
         }
         let Some(turn) = self.turn else {
-            self.turn = Some(now + TURN * state.rank + self.jitter());
+            self.turn = Some(now + RANK_DELAY * state.rank + self.jitter());
             return None;
         };
         if now < turn {
             return None;
         }
-        self.turn = Some(now + RETRY + self.jitter());
+        self.turn = Some(now + RETRY_DELAY + self.jitter());
         Some(Write)
     }
 
-    /// Whether the replay_start is old, by time, by place among the kept records, or by distance.
+    /// Whether the replay start is old in time, near the oldest record kept, or far from the end.
     fn due(&self, state: &State) -> bool {
         let Some(replay_start) = state.replay_start else {
             return false;
         };
         let age =
             time::Duration::from_millis(state.unix_millis.saturating_sub(replay_start.unix_millis));
-        let old = (state.next.saturating_sub(state.first)) / OLD_SHARE;
-        let expiring = state.first > 0 && replay_start.next_offset < state.first + old;
+        let old_records = (state.next.saturating_sub(state.first)) / OLD_DIVISOR;
+        let expiring = state.first > 0 && replay_start.next_offset < state.first + old_records;
         let distant = state.next.saturating_sub(replay_start.next_offset) >= INTERVAL_RECORDS;
         age >= self.retention / 2 || expiring || distant
     }
 
     fn jitter(&mut self) -> time::Duration {
-        TURN.mul_f64(self.rng.random())
+        RANK_DELAY.mul_f64(self.rng.random())
     }
 }
--- a/src/fold/submit.rs
+++ b/src/fold/submit.rs
@@ -1,4 +1,4 @@
-//! Publishes a file and finds out what became of it, even when answers are lost.
+//! Publishes a file and learns its outcome, even when answers of the log service are lost.
 
 use std::time;
 
@@ -12,37 +12,37 @@
 use crate::version;
 
 /// First pause after a failed request.
-const PAUSE: time::Duration = time::Duration::from_millis(50);
+const INITIAL_PAUSE: time::Duration = time::Duration::from_millis(50);
 
-/// Longest pause.
-const PAUSE_MOST: time::Duration = time::Duration::from_secs(1);
+/// Longest pause after a failed request.
+const MAX_PAUSE: time::Duration = time::Duration::from_secs(1);
 
-/// Longest one read waits, so that an end of the allowed time is noticed.
-const READ_WAIT: time::Duration = time::Duration::from_millis(500);
+/// Longest wait of one read, so that the deadline is noticed soon after it has passed.
+const MAX_READ_WAIT: time::Duration = time::Duration::from_millis(500);
 
-/// What became of a publish.
+/// The result of a publish.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Answer {
-    /// The verdict.
+    /// The outcome of the publish.
     pub outcome: outcomes::Outcome,
-    /// Whether it had been reached before this call.
+    /// Whether an earlier call had published the file already.
     pub repeated: bool,
 }
 
-/// Why nothing can be said about a publish.
+/// Why the outcome of a publish is not known.
 #[derive(Debug, thiserror::Error)]
 pub enum Error<E: std::error::Error> {
-    /// The log service did not answer within the allowed time.
-    #[error("the log service can't be reached; {}", fate(*.uncertain))]
+    /// The log service did not answer before the deadline.
+    #[error("the log service can't be reached; {}", publish_state(*.uncertain))]
     Unreachable {
         /// Whether the record may have been appended, or may still be.
         uncertain: bool,
-        /// The last failure, if a request failed at all.
+        /// The last failure; `None` if no request failed.
         #[source]
         source: Option<E>,
     },
-    /// The log has records of a format this build does not know, or its state has expired.
-    #[error("the log does not tell this build the current version; {}", fate(*.uncertain))]
+    /// The log has records of a format that this build does not know, or its state has expired.
+    #[error("the log does not tell this build the current version; {}", publish_state(*.uncertain))]
     Unknown {
         /// Whether the record may have been appended, or may still be.
         uncertain: bool,
@@ -57,10 +57,10 @@
 pub struct Submitter<S, R> {
     follower: follow::Follower<S, R>,
     rng: SmallRng,
-    /// When to give up.
-    end: Instant,
+    /// When to give up with an error.
+    deadline: Instant,
     pause: time::Duration,
-    /// Whether an append was sent whose answer did not say that it had no effect.
+    /// Whether an append was sent that may have had an effect.
     sent: bool,
 }
 
@@ -69,15 +69,15 @@
     S: logs::Service,
     R: rules::Rules + Clone,
 {
-    /// A submitter that gives up after `limit`.
+    /// A submitter that gives up after the time `limit`.
     pub fn new(service: S, rules: R, limit: time::Duration, seed: u64) -> Self {
         let follower = follow::Follower::new(service, rules);
         let rng = SmallRng::seed_from_u64(seed);
-        Self { follower, rng, end: Instant::now() + limit, pause: PAUSE, sent: false }
+        Self { follower, rng, deadline: Instant::now() + limit, pause: INITIAL_PAUSE, sent: false }
     }
 
-    /// Publishes, or finds that it was published before. Appends again only when the record is
-    /// not in the log; a record that turns up twice after all has one effect, by its id.
+    /// Publishes, unless the log shows that it was published before. Appends again only while the
+    /// record is not in the log; if it gets there twice, its id makes the second one ineffective.
     pub async fn submit(mut self, publish: record::Publish) -> Result<Answer, Error<S::Error>> {
         let id = publish.id;
         let base = publish.base;
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The verdict as far as the log tells it now.
+    /// The result, if the records read so far determine it.
     fn answer(&self, id: id::PublishId, base: version::Version) -> Option<Answer> {
         let repeated = !self.sent;
         if let Some(outcome) = self.follower.fold().outcome(id) {
@@ -103,7 +103,7 @@
         (base != current).then_some(Answer { outcome, repeated: false })
     }
 
-    /// Appends once; the offset after the record if the service told it.
+    /// Appends once; returns the offset after the record if the append succeeded.
     async fn append(
         &mut self,
         body: bytes::Bytes,
@@ -116,32 +116,32 @@
             }
             Err(error) => {
                 self.sent |= error.uncertain();
-                self.rest(error).await?;
+                self.pause_after(error).await?;
                 Ok(None)
             }
         }
     }
 
-    /// Reads to the end of the log, and at least up to `next_offset`.
+    /// Reads to the end of the log and at least up to `next_offset`.
     async fn catch_up(&mut self, next_offset: logs::Offset) -> Result<(), Error<S::Error>> {
         let mut wait = time::Duration::ZERO;
         loop {
             if let Err(error) = self.follower.step(wait).await {
-                self.rest(error).await?;
+                self.pause_after(error).await?;
                 continue;
             }
             if self.follower.caught_up() && self.follower.fold().next() >= next_offset {
                 return Ok(());
             }
-            if Instant::now() >= self.end {
-                return Err(self.late());
+            if Instant::now() >= self.deadline {
+                return Err(self.timeout_error());
             }
-            wait = if self.follower.at_end() { READ_WAIT } else { time::Duration::ZERO };
+            wait = if self.follower.at_end() { MAX_READ_WAIT } else { time::Duration::ZERO };
         }
     }
 
-    /// Why the log did not tell the state in time, although it answers.
-    fn late(&self) -> Error<S::Error> {
+    /// The error for a log that answers but did not give the state before the deadline.
+    fn timeout_error(&self) -> Error<S::Error> {
         let uncertain = self.sent;
         if self.follower.needs_snapshot() {
             return Error::Unknown { uncertain };
@@ -149,11 +149,12 @@
         Error::Unreachable { uncertain, source: None }
     }
 
-    /// Pauses after `error`, a little longer each time, or gives up.
-    async fn rest(&mut self, error: S::Error) -> Result<(), Error<S::Error>> {
+    /// Pauses after `error`, twice as long each time up to the maximum, or gives up at the
+    /// deadline.
+    async fn pause_after(&mut self, error: S::Error) -> Result<(), Error<S::Error>> {
         let pause = self.pause.mul_f64(self.rng.random_range(0.5..1.0));
-        self.pause = (self.pause * 2).min(PAUSE_MOST);
-        if Instant::now() + pause >= self.end {
+        self.pause = (self.pause * 2).min(MAX_PAUSE);
+        if Instant::now() + pause >= self.deadline {
             return Err(Error::Unreachable { uncertain: self.sent, source: Some(error) });
         }
         tokio::time::sleep(pause).await;
@@ -161,7 +162,7 @@
     }
 }
 
-const fn fate(uncertain: bool) -> &'static str {
+const fn publish_state(uncertain: bool) -> &'static str {
     if uncertain {
         "the file may have been published, and publishing it again will tell"
     } else {
--- a/src/version.rs
+++ b/src/version.rs
@@ -1,4 +1,4 @@
-//! Names of accepted configurations.
+//! Versions of accepted configurations, and digests of their files.
 
 use std::fmt;
 
@@ -6,35 +6,36 @@
 
 use crate::logs;
 
-/// Number of bytes kept of a configuration's hash.
+/// Length of a digest, which is a truncated hash.
 pub const DIGEST_BYTES: usize = 16;
 
-/// Which of two accepted configurations is the newer one, and where its record is.
+/// Version of an accepted configuration: orders configurations by age and locates their records.
 ///
-/// Where the nodes themselves judge the records of the log, it is the record's place: its offset plus one.
-/// A log service that accepts configurations itself numbers them, and may come back from an older copy of
-/// the log; there it is that number and, for the same one, the record's [`logs::ordinal`].
+/// Where the nodes judge the records of the log, it is the offset of the record plus one. A log
+/// service that accepts configurations itself assigns a number to each, and may be restored from an
+/// older copy of the log. There, the version consists of that number and the record's
+/// [`logs::ordinal`], which decides between records of the same number.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Version(u128);
 
 impl Version {
-    /// No configuration yet; lower than every real version.
+    /// Stands for no configuration; lower than every version of a configuration.
     pub const NONE: Version = Version(0);
 
-    /// The version of the record before the offset `number`.
+    /// The version of the record at offset `number - 1`, where the nodes judge.
     pub const fn new(number: u64) -> Self {
         Self(number as u128)
     }
 
-    /// The version that the log service has given the number `number`, from 1 on, read as the record of
+    /// The version to which the log service assigned `number`, from 1 on, in the record of
     /// `ordinal`.
     pub const fn assigned(number: u64, ordinal: u64) -> Self {
         Self((number as u128) << u64::BITS | ordinal as u128)
     }
 
-    /// The version's number; zero for [`Version::NONE`].
+    /// The number shown to operators; zero for [`Version::NONE`].
     pub const fn number(self) -> u64 {
         match self.assigned_number() {
             0 => self.low_bits(),
@@ -42,12 +43,12 @@
         }
     }
 
-    /// Epoch of the log in which its record was read.
+    /// Epoch of the log in which the record was read.
     pub const fn epoch(self) -> logs::Epoch {
         if self.assigned_number() == 0 { 0 } else { logs::epoch(self.low_bits()) }
     }
 
-    /// The offset after its record, in its epoch.
+    /// The offset after the record, in its epoch.
     pub const fn next_offset(self) -> logs::Offset {
         if self.assigned_number() == 0 {
             self.low_bits()
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The number that the log service has given; zero where the nodes judge.
+    /// The number that the log service assigned; zero where the nodes judge.
     const fn assigned_number(self) -> u64 {
         (self.0 >> u64::BITS) as u64
     }
@@ -72,7 +73,7 @@
     }
 }
 
-/// The first bytes of the blake3 hash of a configuration file as published.
+/// Digest of a configuration file as published: the first bytes of its blake3 hash.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -100,7 +101,7 @@
 
 /// A version with the digest of its file.
 ///
-/// Invariant: two identifiers with the same version made from the same log have the same digest.
+/// Invariant: two identifiers of the same version from the same log have the same digest.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
