--- a/tests/delta.rs
+++ b/tests/delta.rs
@@ -1,4 +1,4 @@
-//! Deltas restore files to the byte, and nothing else.
+//! Patches give exactly the next file or an error, and deltas of small changes are small.
 
 mod fixture;
 
@@ -8,17 +8,17 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// Most bytes of a delta of one route in a file of 370 services; 61 were measured.
-const ROUTE_BYTES: usize = 64;
+/// Maximum size of the delta for one changed route in a file of 370 services, which takes 61 bytes.
+const MAX_CHANGED_ROUTE_BYTES: usize = 64;
 
-/// Most bytes of a delta that adds a route to it; 98 were measured.
-const ADDED_BYTES: usize = 104;
+/// Maximum size of the delta for a route added to that file, which takes 98 bytes.
+const MAX_ADDED_ROUTE_BYTES: usize = 104;
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
     #[test]
-    fn a_patch_restores_the_next_file(
+    fn a_patch_gives_the_next_file(
         base in proptest::option::of(proptest::collection::vec(any::<u8>(), 0..2000)),
         next in proptest::collection::vec(any::<u8>(), 0..2000),
     ) {
@@ -28,14 +28,18 @@
     }
 
     #[test]
-    fn arbitrary_bytes_restore_nothing(
+    fn arbitrary_bytes_are_refused(
         base in proptest::collection::vec(any::<u8>(), 0..200),
         bytes in proptest::collection::vec(any::<u8>(), 0..200),
     ) {
-        let expect = Digest::of(b"what was meant");
+        let expected = Digest::of(b"another file");
         let bytes = Bytes::from(bytes);
-        for patch in [Patch::Delta(bytes.clone()), Patch::Compressed(bytes.clone()), Patch::Uncompressed(bytes)] {
-            prop_assert!(delta::apply(Some(&base), &patch, expect).is_err());
+        for patch in [
+            Patch::Delta(bytes.clone()),
+            Patch::Compressed(bytes.clone()),
+            Patch::Uncompressed(bytes),
+        ] {
+            prop_assert!(delta::apply(Some(&base), &patch, expected).is_err());
         }
     }
 }
@@ -47,11 +51,11 @@
     next[8000] ^= 1;
     let patch = delta::diff(Some(&base), &next);
     assert!(matches!(patch, Patch::Delta(_)));
-    let expect = Digest::of(&next);
-    assert!(delta::apply(None, &patch, expect).is_err());
+    let expected = Digest::of(&next);
+    assert!(delta::apply(None, &patch, expected).is_err());
     let mut other = base.clone();
     other[9000] ^= 1;
-    assert!(delta::apply(Some(&other), &patch, expect).is_err());
+    assert!(delta::apply(Some(&other), &patch, expected).is_err());
 }
 
 #[test]
@@ -77,19 +81,19 @@
 fn a_change_of_one_route_takes_few_bytes(#[case] service: usize) {
     let (base, next) = (fixture::file(None), fixture::file(Some(service)));
     dandelionspool::mesh::check::check(&next).unwrap();
-    let (delta, whole) = (delta_size(&base, &next), delta::diff(None, &next).size());
-    assert!(delta <= ROUTE_BYTES, "{delta} bytes");
-    assert!(100 * delta <= whole, "{delta} bytes of {whole}");
+    let (delta, compressed) = (delta_size(&base, &next), delta::diff(None, &next).size());
+    assert!(delta <= MAX_CHANGED_ROUTE_BYTES, "{delta} bytes");
+    assert!(100 * delta <= compressed, "{delta} bytes of {compressed}");
 }
 
 #[test]
 fn a_route_added_in_the_middle_takes_few_bytes() {
     let base = String::from_utf8(fixture::file(None)).unwrap();
     let name = base.find("\"browse-200\"").unwrap();
-    let place = base[..name].rfind("    {").unwrap();
+    let position = base[..name].rfind("    {").unwrap();
     let route = "    {\n      \"name\": \"extra\",\n      \"path\": \"/v1/extra\",\n      \
                  \"service\": \"service-7\",\n      \"kind\": \"browse\"\n    },\n";
-    let next = format!("{}{route}{}", &base[..place], &base[place..]);
+    let next = format!("{}{route}{}", &base[..position], &base[position..]);
     let delta = delta_size(base.as_bytes(), next.as_bytes());
-    assert!(delta <= ADDED_BYTES, "{delta} bytes");
+    assert!(delta <= MAX_ADDED_ROUTE_BYTES, "{delta} bytes");
 }
--- a/tests/fold/settled.rs
+++ b/tests/fold/accepted.rs
@@ -1,15 +1,15 @@
-//! Files that the log service itself has accepted.
+//! Records of files that the log service itself has accepted.
 
 use bytes::Bytes;
 use dandelionspool::fold::{reader, record, rules, snapshot};
 use dandelionspool::logs;
 use dandelionspool::version;
 
-fn settled(offset: u64, body: &[u8]) -> logs::Record {
+fn accepted(offset: u64, body: &[u8]) -> logs::Record {
     let body = Bytes::copy_from_slice(body);
     let version = version::Version::assigned(offset + 1, logs::ordinal(0, offset));
-    let settled = record::Accepted { version, format: rules::NEWEST_FORMAT, body };
-    let record = record::Record::Accepted(settled);
+    let accepted = record::Accepted { version, format: rules::NEWEST_FORMAT, body };
+    let record = record::Record::Accepted(accepted);
     let body = record::encode(&record).expect("encoded");
     logs::Record { offset, unix_millis: 0, body }
 }
@@ -24,13 +24,13 @@
 }
 
 #[test]
-fn it_needs_none_of_the_records_before_it_and_no_snapshot() {
+fn an_accepted_file_needs_no_earlier_records_and_no_snapshot() {
     let mut reader = reader::Reader::new(rules::Builtin);
     read(&mut reader, 40, Vec::new());
-    read(&mut reader, 40, vec![settled(40, br#"{"format":3}"#)]);
+    read(&mut reader, 40, vec![accepted(40, br#"{"format":3}"#)]);
     assert_eq!(version(&reader), 41);
     assert!(reader.caught_up());
-    read(&mut reader, 70, vec![settled(70, br#"{"format":3,"routes":[]}"#)]);
+    read(&mut reader, 70, vec![accepted(70, br#"{"format":3,"routes":[]}"#)]);
     assert_eq!(version(&reader), 71);
     let state = reader.snapshot_state(u64::MAX, 0);
     let mut policy = snapshot::Policy::new(std::time::Duration::from_secs(1), 1);
@@ -41,10 +41,10 @@
 }
 
 #[test]
-fn one_that_this_build_refuses_leaves_the_version_before_it() {
+fn an_accepted_file_that_this_build_rejects_leaves_the_previous_version() {
     let mut reader = reader::Reader::new(rules::Builtin);
     read(&mut reader, 0, Vec::new());
-    read(&mut reader, 0, vec![settled(0, br#"{"format":3}"#)]);
-    read(&mut reader, 0, vec![settled(1, br#"{"format":3,"routes":7}"#)]);
+    read(&mut reader, 0, vec![accepted(0, br#"{"format":3}"#)]);
+    read(&mut reader, 0, vec![accepted(1, br#"{"format":3,"routes":7}"#)]);
     assert_eq!(version(&reader), 1);
 }
--- a/tests/fold/history.rs
+++ b/tests/fold/history.rs
@@ -1,4 +1,4 @@
-//! Random histories of the `config` stream, with the verdicts of a reader who saw all of it.
+//! Random histories of the `config` stream, with the verdicts of a reader that read all of it.
 
 use std::fmt;
 use std::ops::Range;
@@ -10,20 +10,20 @@
 use dandelionspool::version::Version;
 use proptest::prelude::*;
 
-/// Newest format of the current build in these tests.
-pub const NEWEST: u16 = 2;
+/// Newest format that the current build knows in these tests.
+pub const NEWEST_FORMAT: u16 = 2;
 
-/// Newest format of the older build.
-pub const OLDER: u16 = 1;
+/// Newest format that the older build knows.
+pub const OLDER_FORMAT: u16 = 1;
 
-/// First byte of a file that breaks the rules.
-pub const BROKEN: u8 = b'!';
+/// First byte of an invalid file.
+pub const INVALID_PREFIX: u8 = b'!';
 
-/// Rules that refuse files which start with [`BROKEN`].
+/// Rules that reject files which start with [`INVALID_PREFIX`]; holds the newest format known.
 #[derive(Clone, Copy, Debug)]
-pub struct Toy(pub u16);
+pub struct TestRules(pub u16);
 
-impl rules::Rules for Toy {
+impl rules::Rules for TestRules {
     type Faults = ();
 
     fn newest(&self) -> u16 {
@@ -31,22 +31,22 @@
     }
 
     fn check(&self, _format: u16, file: &[u8]) -> Result<mesh::Mesh, ()> {
-        if file.first() == Some(&BROKEN) { Err(()) } else { Ok(mesh::Mesh::default()) }
+        if file.first() == Some(&INVALID_PREFIX) { Err(()) } else { Ok(mesh::Mesh::default()) }
     }
 }
 
-/// A log with its meaning.
+/// A log with the verdicts and states of a reader that read all of it.
 pub struct History {
     pub records: Vec<logs::Record>,
     /// Verdict on each record.
     pub verdicts: Vec<Verdict<()>>,
-    /// State before each record, and after the last one.
-    pub folds: Vec<fold::Fold<Toy>>,
+    /// State before each record and, as the last item, after the last record.
+    pub folds: Vec<fold::Fold<TestRules>>,
 }
 
 impl fmt::Debug for History {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let decode = |r: &logs::Record| format!("{:?}", record::decode(&r.body, NEWEST));
+        let decode = |r: &logs::Record| format!("{:?}", record::decode(&r.body, NEWEST_FORMAT));
         let kinds = self.records.iter().map(|r| decode(r).chars().take(90).collect::<String>());
         f.debug_list().entries(kinds.zip(&self.verdicts)).finish()
     }
@@ -58,17 +58,17 @@
         self.records.len() as u64
     }
 
-    /// What a read gives while records before `first` have expired.
-    pub fn batch(&self, from: u64, first: u64, most: usize) -> logs::Batch {
+    /// The result of a read from `from` when records before `first` have expired.
+    pub fn batch(&self, from: u64, first: u64, max_records: usize) -> logs::Batch {
         let from = from.max(first) as usize;
-        let records = self.records.iter().skip(from).take(most).cloned().collect();
+        let records = self.records.iter().skip(from).take(max_records).cloned().collect();
         logs::Batch { epoch: 0, first, next: self.end(), records }
     }
 
-    /// Whether a reader who starts at `first` finds a snapshot that covers what it missed.
-    pub fn covered(&self, first: u64) -> bool {
+    /// Whether a reader that starts at `first` finds a snapshot that covers the records before it.
+    pub fn has_covering_snapshot(&self, first: u64) -> bool {
         self.records.iter().skip(first as usize).any(|r| {
-            let decoded = record::decode(&r.body, NEWEST);
+            let decoded = record::decode(&r.body, NEWEST_FORMAT);
             matches!(decoded, Ok(record::Record::Snapshot(s)) if s.next_offset >= first)
         })
     }
@@ -81,11 +81,11 @@
 
 impl Builder {
     pub fn new() -> Self {
-        let folds = vec![fold::Fold::starting_at(Toy(NEWEST), 0)];
+        let folds = vec![fold::Fold::starting_at(TestRules(NEWEST_FORMAT), 0)];
         Self { history: History { records: Vec::new(), verdicts: Vec::new(), folds } }
     }
 
-    pub fn state(&self) -> &fold::Fold<Toy> {
+    pub fn state(&self) -> &fold::Fold<TestRules> {
         self.history.folds.last().unwrap()
     }
 
@@ -102,7 +102,8 @@
         self.append(publish(format, base, id, file));
     }
 
-    /// A snapshot by a node that has not read the last `lag` records; empty when it knows nothing.
+    /// A snapshot by a node that has not read the last `lag` records; empty when no version was
+    /// accepted before them.
     pub fn snapshot(&self, lag: usize) -> Bytes {
         let at = self.history.folds.len().saturating_sub(lag + 1);
         self.history.folds[at].encode().unwrap().unwrap_or_default()
@@ -120,17 +121,17 @@
     record::encode(&record::Record::Publish(record::Publish { format, base, id, body })).unwrap()
 }
 
-/// One thing that happens to the log.
+/// One record appended to the log.
 #[derive(Clone, Debug)]
 enum Event {
-    /// An operator publishes from a base that lies `behind` the current version.
+    /// An operator's publish, based on a version that lies `behind` the current one.
     Publish { behind: u64, id: u8, valid: bool, newer: bool },
-    /// A base that has never been.
-    Ahead { id: u8 },
-    /// A node that lags appends a snapshot.
+    /// A publish based on a version that does not exist.
+    UnknownBase { id: u8 },
+    /// A snapshot by a node that has not read the last `lag` records.
     Snapshot { lag: usize },
-    /// Somebody else's bytes.
-    Junk(Vec<u8>),
+    /// Bytes that are not a record of the system.
+    Foreign(Vec<u8>),
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -143,13 +144,13 @@
     });
     prop_oneof![
         6 => publish,
-        1 => any::<u8>().prop_map(|id| Event::Ahead { id: id % 64 }),
+        1 => any::<u8>().prop_map(|id| Event::UnknownBase { id: id % 64 }),
         2 => prop_oneof![2 => Just(0), 1 => 0usize..6].prop_map(|lag| Event::Snapshot { lag }),
-        1 => proptest::collection::vec(any::<u8>(), 0..20).prop_map(Event::Junk),
+        1 => proptest::collection::vec(any::<u8>(), 0..20).prop_map(Event::Foreign),
     ]
 }
 
-/// Histories whose length lies in `length`.
+/// Histories with a number of records in the range `length`.
 pub fn histories(length: Range<usize>) -> impl Strategy<Value = History> {
     proptest::collection::vec(event(), length).prop_map(|events| {
         let mut builder = Builder::new();
@@ -158,14 +159,14 @@
             match event {
                 Event::Publish { behind, id, valid, newer } => {
                     let base = Version::new(current.saturating_sub(behind));
-                    let file = [if valid { b'v' } else { BROKEN }, n as u8];
+                    let file = [if valid { b'v' } else { INVALID_PREFIX }, n as u8];
                     builder.publish(1 + u16::from(newer), base, [id; 16], &file);
                 }
-                Event::Ahead { id } => {
+                Event::UnknownBase { id } => {
                     builder.publish(1, Version::new(current + 3), [id; 16], b"ahead");
                 }
                 Event::Snapshot { lag } => builder.append(builder.snapshot(lag)),
-                Event::Junk(bytes) => builder.append(bytes.into()),
+                Event::Foreign(bytes) => builder.append(bytes.into()),
             }
         }
         builder.finish()
--- a/tests/fold/main.rs
+++ b/tests/fold/main.rs
@@ -1,7 +1,7 @@
-//! Acceptance of configurations: verdicts, snapshots and readers of the log.
+//! Tests of the acceptance of configurations: verdicts, snapshots and readers of the log.
 
+mod accepted;
 mod follow;
 mod history;
-mod settled;
 mod snapshot;
 mod verdict;
--- a/tests/fold/verdict.rs
+++ b/tests/fold/verdict.rs
@@ -1,23 +1,28 @@
-//! The fold comes to the same verdicts wherever a reader starts, and never goes back.
+//! The fold comes to the same verdicts wherever a reader starts, and its version never goes back.
 
-use crate::history::{self, History, NEWEST, OLDER, Toy};
+use crate::history::{self, History, NEWEST_FORMAT, OLDER_FORMAT, TestRules};
 use bytes::Bytes;
 use dandelionspool::fold::{self, Verdict, id, record};
 use dandelionspool::logs::{self, wire};
 use dandelionspool::version::Version;
 use proptest::prelude::*;
 
-/// Reads after which a reader should long have come to the end.
-const MOST_READS: usize = 500;
+/// Number of reads in which a reader must have reached the end.
+const MAX_READS: usize = 500;
 
-/// Reads `history` from `first` on in batches of `most`, checks every verdict, and returns the
-/// state at the end.
-fn replay(history: &History, fold: &mut fold::Fold<Toy>, first: u64, most: usize) {
-    for _ in 0..MOST_READS {
-        let batch = history.batch(first.max(fold.next()), first, most);
+/// Replays `history` from `first` on into `fold`, in batches of `max_records`, and checks every
+/// verdict.
+fn replay(history: &History, fold: &mut fold::Fold<TestRules>, first: u64, max_records: usize) {
+    for _ in 0..MAX_READS {
+        let batch = history.batch(first.max(fold.next()), first, max_records);
         let before = (fold.version(), fold.next());
         let judged = fold.apply_batch(&batch);
-        assert!(fold.version() >= before.0, "went back from {} to {}", before.0, fold.version());
+        assert!(
+            fold.version() >= before.0,
+            "the version went back from {} to {}",
+            before.0,
+            fold.version()
+        );
         for judged in &judged {
             check(history, judged);
         }
@@ -25,37 +30,41 @@
             return;
         }
     }
-    panic!("read {MOST_READS} times and still not at the end");
+    panic!("read {MAX_READS} times and still not at the end");
 }
 
-/// A verdict is the one of the reader who saw everything, or none.
+/// Checks that a verdict is the one of the reader that read all records, or undetermined.
 fn check(history: &History, judged: &fold::Judged<()>) {
     let expected = &history.verdicts[judged.offset as usize];
     match &judged.verdict {
         Verdict::Unjudged | Verdict::Newer { .. } => {}
-        Verdict::Adopted(stamp) => assert_eq!(&Verdict::Known(*stamp), expected),
+        Verdict::Adopted(version_id) => assert_eq!(&Verdict::Known(*version_id), expected),
         verdict => assert_eq!(verdict, expected, "at {}", judged.offset),
     }
 }
 
-/// What a settled reader knows is what the one who saw everything knows at that place.
-fn check_state(history: &History, fold: &fold::Fold<Toy>) {
+/// Checks that a reader that knows the state agrees with the one that read all records.
+fn check_state(history: &History, fold: &fold::Fold<TestRules>) {
     let expected = &history.folds[fold.next() as usize];
     assert_eq!(fold.encode().unwrap(), expected.encode().unwrap());
-    let stamps = [fold, expected].map(|f| f.current().map(|c| c.version_id));
-    assert_eq!(stamps[0], stamps[1]);
+    let version_ids = [fold, expected].map(|f| f.current().map(|c| c.version_id));
+    assert_eq!(version_ids[0], version_ids[1]);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn every_start_gives_the_same_verdicts(history in history::histories(1..60), most in 1usize..9) {
+    fn every_start_gives_the_same_verdicts(
+        history in history::histories(1..60),
+        max_records in 1usize..9,
+    ) {
         for first in 0..=history.end() {
-            let mut fold = fold::Fold::starting_at(Toy(NEWEST), first);
-            replay(&history, &mut fold, first, most);
+            let mut fold = fold::Fold::starting_at(TestRules(NEWEST_FORMAT), first);
+            replay(&history, &mut fold, first, max_records);
             prop_assert_eq!(fold.next(), history.end());
-            prop_assert_eq!(fold.state_known(), first == 0 || history.covered(first), "from {}", first);
+            let known = first == 0 || history.has_covering_snapshot(first);
+            prop_assert_eq!(fold.state_known(), known, "from {}", first);
             if fold.state_known() {
                 check_state(&history, &fold);
             }
@@ -71,10 +80,10 @@
         let end = history.end() as f64;
         let stop = (stop * end) as u64;
         let first = stop + (missed * (end - stop as f64)) as u64;
-        let mut fold = fold::Fold::starting_at(Toy(NEWEST), 0);
+        let mut fold = fold::Fold::starting_at(TestRules(NEWEST_FORMAT), 0);
         fold.apply_batch(&history.batch(0, 0, stop as usize));
         replay(&history, &mut fold, first, 5);
-        let known = first <= stop || history.covered(first);
+        let known = first <= stop || history.has_covering_snapshot(first);
         prop_assert_eq!(fold.state_known(), known);
         if known {
             check_state(&history, &fold);
@@ -82,9 +91,12 @@
     }
 
     #[test]
-    fn an_older_build_agrees_as_far_as_it_judges(history in history::histories(1..60), first in 0u64..60) {
+    fn an_older_build_agrees_as_far_as_it_judges(
+        history in history::histories(1..60),
+        first in 0u64..60,
+    ) {
         let first = first.min(history.end());
-        let mut fold = fold::Fold::starting_at(Toy(OLDER), first);
+        let mut fold = fold::Fold::starting_at(TestRules(OLDER_FORMAT), first);
         replay(&history, &mut fold, first, 7);
         if fold.state_known() {
             check_state(&history, &fold);
@@ -93,7 +105,7 @@
 
     #[test]
     fn a_record_seen_again_changes_nothing(history in history::histories(1..40)) {
-        let mut fold = fold::Fold::starting_at(Toy(NEWEST), 0);
+        let mut fold = fold::Fold::starting_at(TestRules(NEWEST_FORMAT), 0);
         for record in &history.records {
             fold.apply(record.offset, record.unix_millis, &record.body);
             let state = fold.encode().unwrap();
@@ -106,11 +118,11 @@
     }
 
     #[test]
-    fn of_operators_who_race_the_first_in_the_log_wins(
+    fn of_concurrent_publishes_the_first_valid_one_in_the_log_wins(
         valid in proptest::collection::vec(any::<bool>(), 1..8),
         earlier in 0u8..3,
     ) {
-        let mut fold = fold::Fold::starting_at(Toy(NEWEST), 0);
+        let mut fold = fold::Fold::starting_at(TestRules(NEWEST_FORMAT), 0);
         for n in 0..earlier {
             let base = fold.version();
             let body = history::publish(1, base, [200 + n; 16], b"earlier");
@@ -120,7 +132,7 @@
         let base = fold.version();
         let winner = valid.iter().position(|v| *v);
         for (n, valid) in valid.iter().enumerate() {
-            let file = [if *valid { b'v' } else { history::BROKEN }, n as u8];
+            let file = [if *valid { b'v' } else { history::INVALID_PREFIX }, n as u8];
             let body = history::publish(1, base, [n as u8; 16], &file);
             let verdict = fold.apply(fold.next(), 0, &body);
             let won = Version::new(u64::from(earlier) + winner.unwrap_or(0) as u64 + 1);
@@ -144,34 +156,34 @@
             body.extend_from_slice(&format.to_le_bytes());
         }
         body.extend_from_slice(&bytes);
-        let mut fold = fold::Fold::starting_at(Toy(NEWEST), 0);
+        let mut fold = fold::Fold::starting_at(TestRules(NEWEST_FORMAT), 0);
         fold.apply(0, 0, &history::publish(1, Version::NONE, [1; 16], b"one"));
         let version = fold.version();
         fold.apply(1, 0, &body);
         prop_assert_eq!(fold.version(), version);
-        prop_assert_eq!(fold.state_known(), !(marked && format > NEWEST));
+        prop_assert_eq!(fold.state_known(), !(marked && format > NEWEST_FORMAT));
         let _ = wire::decode(0, 10, Bytes::from(bytes));
     }
 
     #[test]
     fn damaged_records_do_not_panic_and_damaged_snapshots_are_not_adopted(
         history in history::histories(4..30),
-        place in any::<proptest::sample::Index>(),
+        position in any::<proptest::sample::Index>(),
         flip in 1u8..=255,
     ) {
         for original in &history.records {
             let mut body = original.body.to_vec();
-            let at = place.index(body.len().max(1));
+            let at = position.index(body.len().max(1));
             if let Some(byte) = body.get_mut(at) {
                 *byte ^= flip;
             }
-            let mut fold = fold::Fold::starting_at(Toy(NEWEST), 1);
+            let mut fold = fold::Fold::starting_at(TestRules(NEWEST_FORMAT), 1);
             let verdict = fold.apply(original.offset.max(1), 0, &body);
-            if let (Verdict::Adopted(stamp), Ok(record::Record::Snapshot(s))) =
-                (verdict, record::decode(&body, NEWEST))
+            if let (Verdict::Adopted(version_id), Ok(record::Record::Snapshot(s))) =
+                (verdict, record::decode(&body, NEWEST_FORMAT))
             {
                 prop_assert!(s.consistent(original.offset));
-                prop_assert_eq!(stamp.digest, dandelionspool::version::Digest::of(&s.body));
+                prop_assert_eq!(version_id.digest, dandelionspool::version::Digest::of(&s.body));
             }
         }
     }
@@ -191,7 +203,7 @@
 }
 
 #[test]
-fn a_stale_snapshot_does_not_lead_a_joiner_astray() {
+fn a_new_reader_does_not_adopt_a_stale_snapshot() {
     let mut log = history::Builder::new();
     log.publish(1, Version::NONE, [1; 16], b"first");
     let stale = log.snapshot(0);
@@ -199,30 +211,30 @@
     log.append(stale);
     log.publish(1, Version::new(2), [3; 16], b"third");
     let history = log.finish();
-    let mut joiner = fold::Fold::starting_at(Toy(NEWEST), 2);
-    replay(&history, &mut joiner, 2, 10);
-    assert!(!joiner.state_known(), "adopted {:?}", joiner.version());
-    assert_eq!(joiner.version(), Version::NONE);
+    let mut new_reader = fold::Fold::starting_at(TestRules(NEWEST_FORMAT), 2);
+    replay(&history, &mut new_reader, 2, 10);
+    assert!(!new_reader.state_known(), "adopted {:?}", new_reader.version());
+    assert_eq!(new_reader.version(), Version::NONE);
 }
 
 #[test]
-fn a_snapshot_that_would_lead_back_is_refused() {
+fn a_snapshot_of_an_older_version_is_refused() {
     let mut log = history::Builder::new();
     log.publish(1, Version::NONE, [1; 16], b"first");
-    let first = record::decode(&log.snapshot(0), NEWEST).unwrap();
+    let first = record::decode(&log.snapshot(0), NEWEST_FORMAT).unwrap();
     log.publish(1, Version::new(1), [2; 16], b"second");
     let mut reader = log.state().clone();
-    let record::Record::Snapshot(mut false_one) = first else { panic!("not a snapshot") };
-    false_one.next_offset = 4;
+    let record::Record::Snapshot(mut forged) = first else { panic!("not a snapshot") };
+    forged.next_offset = 4;
     reader.skip_expired(3);
-    let body = record::encode(&record::Record::Snapshot(false_one)).unwrap();
+    let body = record::encode(&record::Record::Snapshot(forged)).unwrap();
     assert!(matches!(reader.apply(5, 0, &body), Verdict::Disputed(_)));
     assert_eq!(reader.version(), Version::new(2));
 }
 
 #[test]
-fn the_memory_of_publishes_is_bounded() {
-    let mut fold = fold::Fold::starting_at(Toy(NEWEST), 0);
+fn outcomes_of_publishes_are_bounded() {
+    let mut fold = fold::Fold::starting_at(TestRules(NEWEST_FORMAT), 0);
     let id = |n: u64| (u128::from(n) + 1).to_be_bytes();
     let limit = fold::outcomes::MAX_OUTCOMES as u64;
     for n in 0..2 * limit {
@@ -248,8 +260,8 @@
 }
 
 #[test]
-fn an_empty_batch_moves_nothing() {
-    let mut fold = fold::Fold::starting_at(Toy(NEWEST), 0);
+fn an_empty_batch_changes_nothing() {
+    let mut fold = fold::Fold::starting_at(TestRules(NEWEST_FORMAT), 0);
     assert!(fold.apply_batch(&logs::Batch::default()).is_empty());
     assert!(fold.state_known() && fold.next() == 0);
 }
