--- a/src/spread/dissemination.rs
+++ b/src/spread/dissemination.rs
@@ -45,8 +45,8 @@
         // A node that starts runs what it reads from the log without a witness. After a power loss
         // of all hosts, each would otherwise wait 200 ms for a witness that starts later, and
         // refuse calls in the meantime.
-        let alone = !self.started() || self.peers.other_count() == 0 || wait.is_zero();
-        self.witness_deadline = (!alone).then(|| now + wait);
+        let skip_witness = !self.started() || self.peers.other_count() == 0 || wait.is_zero();
+        self.witness_deadline = (!skip_witness).then(|| now + wait);
         let readers = usize::from(self.settings.readers);
         match self.peers.rank() {
             0 => self.start_push(base, now),
@@ -96,11 +96,11 @@
         if host == self.identity.host || self.peers.held_by(host) >= version {
             return;
         }
-        let witness = self.witness_deadline.is_some() && self.push.none_sent();
+        let needs_witness = self.witness_deadline.is_some() && self.push.none_sent();
         if !self.push.record_push(host, now) {
             return;
         }
-        let forwarding = match witness || self.push.wants_acks() {
+        let forwarding = match needs_witness || self.push.wants_acks() {
             true => message::Forwarding::ForwardAck,
             false => message::Forwarding::Forward,
         };
--- a/src/spread/peer_messages.rs
+++ b/src/spread/peer_messages.rs
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Records that `host` holds `version`, which ends the wait for a witness of the version held
-    /// here.
+    /// Records that `host` holds `version`. If that is at least the version held here, `host` is
+    /// the witness that this node waited for.
     fn record_version(&mut self, host: host::HostId, version: version::Version) {
         self.peers.record(host, version);
         self.push.acknowledged(host, version);
@@ -198,7 +198,7 @@
         true
     }
 
-    /// Requests the newest version from `host`, unless a transfer is under way.
+    /// Requests the newest version from `host`, unless a transfer is in progress.
     fn request_from(&mut self, host: host::HostId, now: clock::Instant) {
         if self.pull.busy(now) {
             return;
--- a/src/spread/peers.rs
+++ b/src/spread/peers.rs
@@ -121,17 +121,17 @@
     /// Up to `max` hosts to query at start: two readers of this zone, then random hosts,
     /// alternately of this zone and of other zones.
     pub fn query_targets<R: rand::Rng>(&self, max: usize, rng: &mut R) -> Vec<host::HostId> {
-        let mut asked: Vec<host::HostId> =
+        let mut targets: Vec<host::HostId> =
             self.readers.iter().copied().filter(|&h| h != self.me).take(2).collect();
         let near: Vec<host::HostId> = self.zone.sample(rng, max).copied().collect();
         let far: Vec<host::HostId> = self.remote.sample(rng, max).copied().collect();
         for index in 0..max {
-            asked.extend(near.get(index));
-            asked.extend(far.get(index));
+            targets.extend(near.get(index));
+            targets.extend(far.get(index));
         }
         let mut seen = collections::HashSet::from([self.me]);
-        asked.retain(|&h| seen.insert(h));
-        asked.truncate(max);
-        asked
+        targets.retain(|&h| seen.insert(h));
+        targets.truncate(max);
+        targets
     }
 }
--- a/src/spread/push.rs
+++ b/src/spread/push.rs
@@ -40,7 +40,7 @@
 }
 
 impl Push {
-    /// Nothing to push.
+    /// No version to push yet.
     pub fn new(settings: &configs::spread::Spread) -> Self {
         Self {
             version: version::Version::NONE,
--- a/src/spread/shell.rs
+++ b/src/spread/shell.rs
@@ -105,7 +105,7 @@
         events,
         tasks,
         replies: collections::HashMap::new(),
-        transfers: 0,
+        last_transfer: 0,
         core,
         applied: wiring.applied,
         log: wiring.log,
@@ -122,7 +122,7 @@
     events: mpsc::Sender<TaskEvent>,
     tasks: task::JoinSet<()>,
     replies: collections::HashMap<decision::TransferId, oneshot::Sender<message::FetchReply>>,
-    transfers: decision::TransferId,
+    last_transfer: decision::TransferId,
     core: decision::Spread,
     applied: watch::Sender<Arc<mesh::Applied>>,
     log: L,
@@ -173,9 +173,9 @@
         match event {
             TaskEvent::Event(event) => Some(event),
             TaskEvent::Fetch { fetch, reply } => {
-                self.transfers += 1;
-                self.replies.insert(self.transfers, reply);
-                Some(decision::Event::Fetch { transfer: self.transfers, fetch })
+                self.last_transfer += 1;
+                self.replies.insert(self.last_transfer, reply);
+                Some(decision::Event::Fetch { transfer: self.last_transfer, fetch })
             }
         }
     }
@@ -219,9 +219,10 @@
     }
 
     fn send(&self, host: host::HostId, datagram: message::Datagram) {
-        let plain = self.settings.bind.is_none();
+        // The source address identifies this host unless it is bound to another address.
+        let source_is_host = self.settings.bind.is_none();
         let push = matches!(datagram, message::Datagram::Push { .. });
-        let sender = (!plain || !push).then(|| self.settings.host());
+        let sender = (!source_is_host || !push).then(|| self.settings.host());
         let envelope = message::Envelope { host: sender, datagram };
         let Ok(bytes) = wire::encode(&self.transport.seal, &envelope) else { return };
         // A datagram that can't be sent now is treated like one lost in the network: resends and
--- a/src/spread/tests/faults.rs
+++ b/src/spread/tests/faults.rs
@@ -86,8 +86,8 @@
     #[values(0, 1)] preset: usize,
 ) {
     let (mut net, first) = fleet::started(4, 10, presets()[preset].clone(), 41);
-    // The log stands in the first region.
-    net.set_joined(false);
+    // Only the first region reaches the log.
+    net.set_connected(false);
     net.without_log = (20..40).collect();
     net.advance(SECOND * 10);
     let version = net.publish(&fleet::file(1));
@@ -95,7 +95,7 @@
     let runs = |net: &net::Net, n: usize| net.nodes[n].running.version;
     assert!((0..20).all(|n| runs(&net, n) == version));
     assert!((20..40).all(|n| runs(&net, n) == first));
-    net.set_joined(true);
+    net.set_connected(true);
     assert!(net.run_until(SECOND * 8, |n| n.all_run(version)).is_some());
 }
 
--- a/src/spread/tests/net.rs
+++ b/src/spread/tests/net.rs
@@ -115,7 +115,7 @@
     /// Share of datagrams delivered twice, from 0 to 1.
     pub duplication: f64,
     /// Whether the regions can reach each other.
-    pub joined: bool,
+    pub connected: bool,
     /// Nodes that can't reach the log.
     pub without_log: collections::HashSet<usize>,
     /// Counts so far.
@@ -142,7 +142,7 @@
             source: source::Source::default(),
             loss: 0.0,
             duplication: 0.0,
-            joined: true,
+            connected: true,
             without_log: collections::HashSet::new(),
             counts: Counts::default(),
             now: clock::Instant::from_millis(1),
@@ -363,7 +363,7 @@
     fn perform(&mut self, node: usize, action: Action) {
         match action {
             Action::Reply { transfer, reply } => self.answer_fetch(node, transfer, reply),
-            Action::Append(body) => self.snapshot(body),
+            Action::Append(body) => self.append_snapshot(body),
             Action::Fetch { host, have } => self.fetch(node, host, have),
             Action::Read(read) => self.read(node, read),
             Action::Run(applied) => self.run(node, &applied),
@@ -448,8 +448,8 @@
     }
 
     /// Cuts or restores the network between regions; views show it after [`DETECTION_TIME`].
-    pub fn set_joined(&mut self, joined: bool) {
-        self.joined = joined;
+    pub fn set_connected(&mut self, connected: bool) {
+        self.connected = connected;
         self.schedule(self.now + DETECTION_TIME, Item::Views);
     }
 
--- a/src/spread/tests/net/links.rs
+++ b/src/spread/tests/net/links.rs
@@ -18,7 +18,7 @@
 const DELAY: (u64, u64) = (200, 3000);
 
 impl Net {
-    pub(super) fn snapshot(&mut self, body: bytes::Bytes) {
+    pub(super) fn append_snapshot(&mut self, body: bytes::Bytes) {
         if self.source.up {
             self.source.append_record(body, self.now.as_micros() / 1000);
             self.wake_readers();
@@ -32,12 +32,12 @@
         }
     }
 
-    pub(super) fn index(&self, host: host::HostId) -> Option<usize> {
+    pub(super) fn node_of(&self, host: host::HostId) -> Option<usize> {
         self.nodes.iter().position(|n| n.id == host)
     }
 
     pub(super) fn reaches(&self, from: usize, to: usize) -> bool {
-        self.joined || self.nodes[from].locality.region == self.nodes[to].locality.region
+        self.connected || self.nodes[from].locality.region == self.nodes[to].locality.region
     }
 
     pub(super) fn delay(&mut self) -> clock::Instant {
@@ -52,7 +52,7 @@
         assert!(size <= usize::from(self.settings.datagram_bytes), "a datagram of {size} bytes");
         self.counts.bytes += size as u64;
         self.counts.datagrams += 1;
-        let Some(to) = self.index(host) else { return };
+        let Some(to) = self.node_of(host) else { return };
         let copies = 1 + usize::from(self.rng.random_bool(self.duplication));
         for _ in 0..copies {
             if self.rng.random_bool(self.loss) || !self.reaches(from, to) {
@@ -65,7 +65,7 @@
     }
 
     pub(super) fn fetch(&mut self, from: usize, host: host::HostId, have: version::Version) {
-        let to = self.index(host).filter(|&t| self.reaches(from, t));
+        let to = self.node_of(host).filter(|&t| self.reaches(from, t));
         let to = to.filter(|&t| self.nodes[t].core.is_some());
         let Some(to) = to else {
             let event = Event::Fetched { host, served: None };
@@ -87,17 +87,17 @@
         &mut self,
         from: usize,
         transfer: TransferId,
-        served: message::FetchReply,
+        reply: message::FetchReply,
     ) {
-        let size = postcard::to_stdvec(&served).expect("encodes").len();
+        let size = postcard::to_stdvec(&reply).expect("encodes").len();
         self.counts.bytes += size as u64;
         let Some(to) = self.fetches.remove(&transfer) else { return };
         // Transfer time at 100 Mbit/s.
         let done = self.delay() + time::Duration::from_nanos(80 * size as u64);
-        if matches!(served, message::FetchReply::Busy { .. }) {
+        if matches!(reply, message::FetchReply::Busy { .. }) {
             self.counts.busy += 1;
         }
-        if matches!(served, message::FetchReply::Update(_)) {
+        if matches!(reply, message::FetchReply::Update(_)) {
             self.counts.transfers += 1;
             let serving = self.serving.entry(from).or_default();
             *serving += 1;
@@ -108,7 +108,7 @@
                 Item::Event { node: from, incarnation, event: Event::TransferSent },
             );
         }
-        let event = Event::Fetched { host: self.nodes[from].id, served: Some(served) };
+        let event = Event::Fetched { host: self.nodes[from].id, served: Some(reply) };
         let incarnation = self.nodes[to].incarnation;
         self.schedule(done, Item::Event { node: to, incarnation, event });
     }
@@ -117,7 +117,8 @@
         self.counts.reads += 1;
         if !self.source.up || self.without_log.contains(&node) {
             let (at, incarnation) = (self.delay(), self.nodes[node].incarnation);
-            return self.schedule(at, Item::Event { node, incarnation, event: self.ended(None) });
+            return self
+                .schedule(at, Item::Event { node, incarnation, event: self.read_event(None) });
         }
         if self.source.next() > read.from || read.wait.is_zero() {
             return self.answer_read(node, read);
@@ -133,10 +134,10 @@
         let bytes: usize = batch.iter().flat_map(|b| &b.records).map(|r| r.body.len()).sum();
         self.counts.read_bytes += bytes as u64;
         let (at, incarnation) = (self.delay(), self.nodes[node].incarnation);
-        self.schedule(at, Item::Event { node, incarnation, event: self.ended(batch) });
+        self.schedule(at, Item::Event { node, incarnation, event: self.read_event(batch) });
     }
 
-    pub(super) fn ended(&self, batch: Option<logs::Batch>) -> Event {
+    pub(super) fn read_event(&self, batch: Option<logs::Batch>) -> Event {
         Event::Read { batch, unix_millis: self.now.as_micros() / 1000 }
     }
 }
--- a/src/spread/tests/random_faults.rs
+++ b/src/spread/tests/random_faults.rs
@@ -53,7 +53,7 @@
 fn perform(net: &mut net::Net, operation: &Operation, tag: &mut u64) {
     *tag += 1;
     match *operation {
-        Operation::CutRegions(apart) => net.set_joined(!apart),
+        Operation::CutRegions(cut) => net.set_connected(!cut),
         Operation::Duplicate(percent) => net.duplication = f64::from(percent) / 100.0,
         Operation::Kill(node) if net.nodes[node].core.is_some() => net.kill(node),
         Operation::Kill(_) => {}
@@ -87,7 +87,7 @@
     (net.loss, net.duplication) = (0.0, 0.0);
     net.without_log.clear();
     net.source.up = true;
-    net.set_joined(true);
+    net.set_connected(true);
     for node in 0..NODES {
         net.resume(node);
         if net.nodes[node].core.is_none() {
--- a/src/spread/tests/restored_log.rs
+++ b/src/spread/tests/restored_log.rs
@@ -111,7 +111,7 @@
 fn a_region_cut_off_during_a_restore_catches_up(#[values(91, 92, 93)] seed: u64) {
     let mut net = started(seed, 7);
     let cut = |net: &net::Net, n: usize| net.zone(n) != net.zone(0);
-    net.set_joined(false);
+    net.set_connected(false);
     net.without_log = (0..16).filter(|&n| cut(&net, n)).collect();
     net.wake_readers();
     restore(&mut net, 5, SECOND * 2);
@@ -120,7 +120,7 @@
         net.advance(SECOND);
     }
     net.without_log.clear();
-    net.set_joined(true);
+    net.set_connected(true);
     net.advance(SECOND * 8);
     assert!(all_run_number(&net, 11), "not all have caught up");
     publish(&mut net, 12);
--- a/src/spread/tests/single_node.rs
+++ b/src/spread/tests/single_node.rs
@@ -155,12 +155,12 @@
 #[case::that_hangs(600, Some(id(2)))]
 fn a_hanging_transfer_does_not_delay_a_newer_version(
     #[case] delay: u64,
-    #[case] asked: Option<host::HostId>,
+    #[case] fetched_from: Option<host::HostId>,
 ) {
     let mut node = node(0, 3, configs::spread::Spread::cascadia());
     complete_start(&mut node, version::Version::NONE);
     assert_eq!(announce(&mut node, 1, 5, 30_000), Some(id(1)));
-    assert_eq!(announce(&mut node, 2, 6, 30_000 + delay), asked);
+    assert_eq!(announce(&mut node, 2, 6, 30_000 + delay), fetched_from);
 }
 
 #[test]
--- a/src/spread/tests/tree.rs
+++ b/src/spread/tests/tree.rs
@@ -71,7 +71,11 @@
     #![proptest_config(ProptestConfig::with_cases(64))]
 
     #[test]
-    fn every_host_is_pushed_to_exactly_once(count in 1u16..400, first in 0u16..400, fanout in 1u8..9) {
+    fn every_host_is_pushed_to_exactly_once(
+        count in 1u16..400,
+        first in 0u16..400,
+        fanout in 1u8..9,
+    ) {
         let zone = hosts(count);
         let first = zone[usize::from(first % count)];
         let (seen, pushes) = reached(&zone, first, fanout);
--- a/src/spread/tree.rs
+++ b/src/spread/tree.rs
@@ -46,16 +46,16 @@
 
     /// The hosts to which `host` forwards the version; none when it is not in the tree.
     pub fn children(&self, host: host::HostId) -> &[host::HostId] {
-        let place = self.order.iter().position(|&h| h == host);
-        place.map_or(&[], |place| self.slice((place + 1) * self.fanout))
+        let position = self.order.iter().position(|&h| h == host);
+        position.map_or(&[], |position| self.slice((position + 1) * self.fanout))
     }
 
     /// Number of levels, which is the number of pushes on the longest path through the tree.
     pub fn depth(&self) -> usize {
         let mut depth = 0;
-        let mut place = self.order.len();
-        while place > 0 {
-            place = (place - 1) / self.fanout;
+        let mut position = self.order.len();
+        while position > 0 {
+            position = (position - 1) / self.fanout;
             depth += 1;
         }
         depth
--- a/src/spread/version_cache.rs
+++ b/src/spread/version_cache.rs
@@ -67,8 +67,8 @@
         }
     }
 
-    /// The update from `base` to the newest file: a delta if one is cached or `base` is held, else
-    /// the complete file.
+    /// The update from `base` to the newest file: by a cached patch, else by a new one from the
+    /// file of `base`, else by the complete file if `base` is not held.
     pub fn update_from(&mut self, base: version::Version) -> Option<message::Update> {
         let newest = self.files.back()?;
         let version_id = newest.version_id;
