--- a/benches/claim.rs
+++ b/benches/claim.rs
@@ -25,7 +25,7 @@
     let deadline = now + time::Duration::from_secs(5);
     let mut appends = Vec::new();
     for n in first..first + GROUP {
-        let ask = Event::Ask { token: Token(n), entry: entry(n), deadline };
+        let ask = Event::Request { token: Token(n), entry: entry(n), deadline };
         appends.extend(writer.handle(ask, now));
     }
     let later = now + time::Duration::from_millis(20);
--- a/src/claim/circuit.rs
+++ b/src/claim/circuit.rs
@@ -1,54 +1,54 @@
-//! Refusing at once while the log fails, and looking again after a while.
+//! Circuit breaker for requests to the log: it refuses at once while the log fails.
 
 use std::time;
 
 use crate::clock;
 
-/// Pause after a single failure, which may be a lost answer only.
-const SHORT: time::Duration = time::Duration::from_millis(20);
+/// Pause after a single failure, which may be no more than a lost answer.
+const FIRST_PAUSE: time::Duration = time::Duration::from_millis(20);
 
-/// Pause after the second failure in a row; doubles with each further one.
-const FIRST: time::Duration = time::Duration::from_millis(250);
+/// Pause after the second failure in a row; it doubles with each further failure.
+const BASE_PAUSE: time::Duration = time::Duration::from_millis(250);
 
-/// Longest pause.
-const LONGEST: time::Duration = time::Duration::from_secs(4);
+/// Upper bound of the pause.
+const MAX_PAUSE: time::Duration = time::Duration::from_secs(4);
 
-/// Whether the log is worth a try. Open from the second failure in a row on.
+/// The state of the breaker. It opens at the second failure in a row and stays open for the pause.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Circuit {
-    /// Failures without a success since.
+    /// Failures since the last success.
     failures: u32,
-    /// No try before this moment.
+    /// No request is made before this moment.
     until: clock::Instant,
 }
 
 impl Circuit {
-    /// Notes a failure and tells whether the circuit is open now.
+    /// Records a failure and returns whether the circuit is open now.
     pub fn fail(&mut self, now: clock::Instant) -> bool {
         let doublings = self.failures.saturating_sub(1).min(8);
-        let long = FIRST.saturating_mul(1 << doublings).min(LONGEST);
-        self.until = now + if self.failures == 0 { SHORT } else { long };
+        let pause = BASE_PAUSE.saturating_mul(1 << doublings).min(MAX_PAUSE);
+        self.until = now + if self.failures == 0 { FIRST_PAUSE } else { pause };
         self.failures = self.failures.saturating_add(1);
         self.failures > 1
     }
 
-    /// Notes a success.
+    /// Records a success, which closes the circuit.
     pub fn succeed(&mut self) {
         *self = Self::default();
     }
 
-    /// Whether a try may be made.
+    /// Whether a request may be made now.
     pub fn ready(&self, now: clock::Instant) -> bool {
         now >= self.until
     }
 
-    /// How long everything is refused; `None` when the circuit is not open.
-    pub fn open(&self, now: clock::Instant) -> Option<time::Duration> {
+    /// How long requests are still refused; `None` when the circuit is not open.
+    pub fn open_for(&self, now: clock::Instant) -> Option<time::Duration> {
         (self.failures > 1 && now < self.until).then(|| self.until.since(now))
     }
 
-    /// When the next try may be made.
-    pub const fn until(&self) -> clock::Instant {
+    /// When the next request may be made.
+    pub const fn next_attempt(&self) -> clock::Instant {
         self.until
     }
 }
--- a/src/claim/event.rs
+++ b/src/claim/event.rs
@@ -1,4 +1,4 @@
-//! What goes into a writer of claims and what comes out of it.
+//! Inputs and outputs of a claim writer.
 
 use std::time;
 
@@ -8,86 +8,86 @@
 use crate::clock;
 use crate::logs;
 
-/// Names who asked, to the shell.
+/// Identifies a request to the writer; the answer carries it back.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Token(pub u64);
 
-/// Names an append, to the shell.
+/// Identifies an append; its outcome carries it back.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Ticket(pub u64);
+pub struct AppendId(pub u64);
 
-/// How a writer works.
+/// Limits of a writer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Least time between two appends.
+    /// Shortest time between two appends.
     pub append_interval: time::Duration,
     /// How long a claim is remembered.
     pub window: time::Duration,
-    /// Longest an append may take to be read back before the log counts as failing.
+    /// How long an append may take to be read back before the log counts as failing.
     pub append_timeout: time::Duration,
-    /// Most entries that wait.
+    /// Limit on entries that wait for an answer.
     pub max_waiting: usize,
 }
 
-/// How an append ended.
+/// What is known about a finished append.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum End {
+pub enum AppendOutcome {
     /// It is in the log.
-    Done,
+    Appended,
     /// It is not in the log and will not be.
-    Refused,
+    NotAppended,
     /// Its answer was lost.
     Unknown,
 }
 
-/// What happens to a writer.
+/// An input of a writer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Somebody claims or releases.
-    Ask {
-        /// Who asks.
+    /// A claim or a release is requested.
+    Request {
+        /// Identifies the request.
         token: Token,
-        /// What for.
+        /// The claim or release.
         entry: record::Entry,
-        /// Until when an answer is of use.
+        /// When an answer is no longer needed.
         deadline: clock::Instant,
     },
-    /// An append has ended.
+    /// An append has finished.
     Appended {
-        /// Which one.
-        ticket: Ticket,
-        /// How it ended, as far as its answer tells.
-        end: End,
+        /// The append.
+        id: AppendId,
+        /// Its outcome, as far as the answer of the log shows it.
+        outcome: AppendOutcome,
     },
-    /// The read has ended: with a batch, or failed.
+    /// The read has finished: with a batch, or `None` if it failed.
     Read(Option<logs::Batch>),
     /// Time has passed.
     Tick,
 }
 
-/// What a writer says of a claim or a release.
+/// A writer's answer to a claim or a release.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Answer {
-    /// The log has the claim; this is its verdict.
+    /// The claim is in the log; this is its verdict.
     Claimed(claim::Verdict),
-    /// The log has the release.
+    /// The release is in the log.
     Released,
     /// There is no verdict.
     Failed {
-        /// Why.
+        /// The reason.
         error: claim::Error,
-        /// Whether the entry may be in the log or still get there.
+        /// Whether the entry may be in the log or may still reach it.
         written: bool,
     },
 }
 
-/// What the shell has to do.
+/// What the caller of a writer has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Answer whoever asked.
+    /// Answer the request.
     Answer(Token, Answer),
-    /// Append this record.
-    Append(Ticket, bytes::Bytes),
-    /// Read; one read at a time is asked for.
+    /// Append this record to the stream.
+    Append(AppendId, bytes::Bytes),
+    /// Read from the stream; at most one read is under way at a time.
     Read(follow::Read),
 }
--- a/src/claim/follow.rs
+++ b/src/claim/follow.rs
@@ -1,41 +1,41 @@
-//! Where to begin to read a stream, and reading on from there.
+//! Finds the offset from which a stream is replayed and reads on from there.
 //!
-//! Only the claims of the last window matter. Their first record is found by bisection of the
-//! offsets by the log's own times, so that a writer which takes over reads one window and not all
-//! that the log keeps.
+//! Only the claims of the last window matter. Their first record is found by a binary search over
+//! the offsets, by the log's own times, so that a writer that takes over reads one window instead
+//! of everything that the log retains.
 
 use std::time;
 
 use crate::logs;
 
-/// Records asked for at once.
-const BATCH: u32 = 64;
+/// Records requested in one read.
+const BATCH_RECORDS: u32 = 64;
 
 /// A read to be made.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Read {
-    /// From which offset on.
+    /// First offset to read.
     pub from: logs::Offset,
-    /// How many records at most.
-    pub most: u32,
-    /// Whether to wait for one when there is none.
+    /// Limit on the number of records.
+    pub max: u32,
+    /// Whether to wait for a record when there is none.
     pub wait: bool,
 }
 
-/// How far the reader is.
+/// Progress of the follower.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Stage {
-    /// Asks for the ends of the stream.
+    /// Reads the bounds of the stream.
     Probe,
-    /// Asks for the time of the record at this offset, the last one.
+    /// Reads the time of the last record, which is at this offset.
     Last(logs::Offset),
-    /// Bisects: records before `low` are too old, the one at `high` is not.
+    /// Binary search: records before `low` are older than `since_ms`, the one at `high` is not.
     Search { low: logs::Offset, high: logs::Offset, since_ms: u64 },
-    /// Reads on.
+    /// Reads the records from the found offset on.
     Tail,
 }
 
-/// Reads one stream from a window back on.
+/// Reads one stream, starting one window before its last record.
 #[derive(Clone, Copy, Debug)]
 pub struct Follower {
     window_ms: u64,
@@ -46,54 +46,54 @@
     epoch: Option<logs::Epoch>,
 }
 
-/// What a batch means.
+/// What to do with a batch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Its records come next.
-    Take,
-    /// It told where to look; its records are not for use.
-    Look,
-    /// The log came back from an older copy: what was folded stays true, reading begins anew.
-    Back,
-    /// Records expired before they were read: all that was folded is void, reading begins anew.
+    /// Apply its records, which are the next ones.
+    Apply,
+    /// Ignore its records; they only served to find the starting offset.
+    Seek,
+    /// The log was restored from an older copy: the replayed state is kept, reading starts over.
+    Restored,
+    /// Records expired before they were read: discard the replayed state, reading starts over.
     Gap,
 }
 
 impl Follower {
-    /// A reader that begins `window` before the last record.
+    /// A follower that starts `window` before the last record.
     pub fn new(window: time::Duration) -> Self {
         let window_ms = u64::try_from(window.as_millis()).unwrap_or(u64::MAX);
         Self { window_ms, stage: Stage::Probe, next: 0, current: false, epoch: None }
     }
 
-    /// Whether everything that was in the stream at the last read has been read.
+    /// Whether all records that the stream held at the last read have been read.
     pub const fn current(&self) -> bool {
         self.current
     }
 
-    /// Notes that a read failed: what was read may be behind.
+    /// Records that a read failed, after which the replayed state may be outdated.
     pub const fn fail(&mut self) {
         self.current = false;
     }
 
-    /// The read to make now.
+    /// The read to make next.
     pub const fn read(&self) -> Read {
         match self.stage {
-            Stage::Probe => Read { from: 0, most: 1, wait: false },
-            Stage::Last(offset) => Read { from: offset, most: 1, wait: false },
+            Stage::Probe => Read { from: 0, max: 1, wait: false },
+            Stage::Last(offset) => Read { from: offset, max: 1, wait: false },
             Stage::Search { low, high, .. } => {
-                Read { from: low + (high - low) / 2, most: 1, wait: false }
+                Read { from: low + (high - low) / 2, max: 1, wait: false }
             }
-            Stage::Tail => Read { from: self.next, most: BATCH, wait: self.current },
+            Stage::Tail => Read { from: self.next, max: BATCH_RECORDS, wait: self.current },
         }
     }
 
-    /// Takes what the last read gave.
-    pub fn take(&mut self, batch: &logs::Batch) -> Step {
+    /// Handles the batch of the last read.
+    pub fn advance(&mut self, batch: &logs::Batch) -> Step {
         let before = self.epoch.replace(batch.epoch);
         if before.is_some_and(|before| before != batch.epoch) {
             self.restart();
-            return Step::Back;
+            return Step::Restored;
         }
         match self.stage {
             Stage::Probe => self.probe(batch),
@@ -112,21 +112,21 @@
             Some(last) if batch.first < batch.next => self.stage = Stage::Last(last),
             _ => self.begin(batch.next),
         }
-        Step::Look
+        Step::Seek
     }
 
     fn last(&mut self, batch: &logs::Batch) -> Step {
         match batch.records.first() {
             Some(record) => {
-                // A quarter more than the window, as clocks of the log may step back a little.
-                let reach = self.window_ms.saturating_add(self.window_ms / 4);
-                let since_ms = record.unix_millis.saturating_sub(reach);
+                // A quarter more than the window, since the log's clock may step back a little.
+                let span_ms = self.window_ms.saturating_add(self.window_ms / 4);
+                let since_ms = record.unix_millis.saturating_sub(span_ms);
                 self.stage = Stage::Search { low: batch.first, high: record.offset, since_ms };
-                self.settle();
+                self.finish_search();
             }
             None => self.stage = Stage::Probe,
         }
-        Step::Look
+        Step::Seek
     }
 
     fn search(
@@ -147,12 +147,12 @@
             }
             None => self.stage = Stage::Probe,
         }
-        self.settle();
-        Step::Look
+        self.finish_search();
+        Step::Seek
     }
 
-    /// Ends the bisection when its ends meet.
-    fn settle(&mut self) {
+    /// Ends the binary search when its bounds meet.
+    fn finish_search(&mut self) {
         if let Stage::Search { low, high, .. } = self.stage
             && low >= high
         {
@@ -175,6 +175,6 @@
             self.next = last.offset.saturating_add(1);
         }
         self.current = self.next >= batch.next;
-        Step::Take
+        Step::Apply
     }
 }
--- a/src/claim/handle.rs
+++ b/src/claim/handle.rs
@@ -1,4 +1,4 @@
-//! The claims of the mesh as the call path sees them: rings to the ledger's thread.
+//! The call path's handle to the ledger duty: one ring for claims, one for releases.
 
 use std::time;
 
@@ -9,49 +9,51 @@
 use crate::clock;
 use crate::ring;
 
-/// Claims that may wait in the ring to the ledger's thread. Full: the claim is refused as
-/// [`claim::Error::Busy`].
-const CLAIMS: usize = 4096;
+/// Capacity of the ring of claims. When it is full, a claim is refused with [`claim::Error::Busy`].
+const CLAIM_CAPACITY: usize = 4096;
 
-/// Releases that may wait. Full: the release is lost and counted, and its key stays taken for the
-/// rest of its window.
-const RELEASES: usize = 65_536;
+/// Capacity of the ring of releases. When it is full, a release is dropped and counted, and its key
+/// stays taken for the rest of its window.
+const RELEASE_CAPACITY: usize = 65_536;
 
-/// When a refused claim may be tried again.
-const AGAIN: time::Duration = time::Duration::from_millis(100);
+/// Retry-after of a refused claim.
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(100);
 
-/// A claim on its way to the ledger's thread.
+/// A claim sent to the ledger duty.
 #[derive(Debug)]
 pub struct Claim {
-    /// What is claimed.
+    /// The key and the attempt that claims it.
     pub entry: Entry,
-    /// Until when the verdict is of use.
+    /// When the verdict is no longer needed.
     pub deadline: clock::Instant,
-    /// Takes the verdict.
+    /// Receives the verdict.
     pub verdict: oneshot::Sender<Result<Verdict, claim::Error>>,
 }
 
-/// The handle. Clones share the rings.
+/// The sending ends of the rings; clones share them.
 #[derive(Clone, Debug)]
 pub struct Handle {
     claims: ring::Sender<Claim>,
     releases: ring::Sender<Entry>,
 }
 
-/// The ledger's ends of the rings.
+/// The ledger duty's ends of the rings.
 #[derive(Debug)]
-pub struct Ends {
+pub struct Receivers {
     /// Claims.
     pub claims: ring::Receiver<Claim>,
     /// Releases.
     pub releases: ring::Receiver<Entry>,
 }
 
-/// A handle and what it leads to.
-pub fn pair() -> (Handle, Ends) {
-    let (claims, claims_end) = ring::bounded(CLAIMS);
-    let (releases, releases_end) = ring::bounded(RELEASES);
-    (Handle { claims, releases }, Ends { claims: claims_end, releases: releases_end })
+/// A handle and the receiving ends of its rings.
+pub fn pair() -> (Handle, Receivers) {
+    let (claims, claims_receiver) = ring::bounded(CLAIM_CAPACITY);
+    let (releases, releases_receiver) = ring::bounded(RELEASE_CAPACITY);
+    (
+        Handle { claims, releases },
+        Receivers { claims: claims_receiver, releases: releases_receiver },
+    )
 }
 
 impl Handle {
@@ -73,18 +75,18 @@
         attempt: claim::Attempt,
         deadline: clock::Instant,
     ) -> Result<Verdict, claim::Error> {
-        let (verdict, told) = oneshot::channel();
+        let (verdict, reply) = oneshot::channel();
         let entry = Entry { key, attempt, op: Op::Claim };
         if self.claims.offer(Claim { entry, deadline, verdict }).is_err() {
-            return Err(claim::Error::Busy { retry_after: AGAIN });
+            return Err(claim::Error::Busy { retry_after: RETRY_DELAY });
         }
-        // The ledger's thread ends after the call path, so this is a process that is being ended.
-        told.await.unwrap_or(Err(claim::Error::Unavailable { retry_after: AGAIN }))
+        // The ledger duty ends after the call path, so this happens only at shutdown.
+        reply.await.unwrap_or(Err(claim::Error::Unavailable { retry_after: RETRY_DELAY }))
     }
 
     fn release(&self, key: claim::Key, attempt: claim::Attempt) {
         if self.releases.offer(Entry { key, attempt, op: Op::Release }).is_err() {
-            log::warn!("a release of a key is lost, since too many wait");
+            log::warn!("dropped the release of a key: the ring to the ledger is full");
         }
     }
 }
--- a/src/claim/ledger.rs
+++ b/src/claim/ledger.rs
@@ -1,5 +1,5 @@
-//! Everything the ledger's thread holds: this node's own claims, the writers that run here, the
-//! connections, and usage.
+//! State of the ledger duty: this node's own claims, the writers that run here, the connections,
+//! and usage.
 
 use std::collections;
 use std::sync::Arc;
@@ -13,21 +13,21 @@
 
 use crate::admin::metrics;
 use crate::claim::event::{Answer, Limits, Token};
-use crate::claim::keep::{self, Origin};
 use crate::claim::record::Entry;
+use crate::claim::registry::{self, Origin};
 use crate::claim::shell::Input;
-use crate::claim::{self, desk, dial, handle, serve, wire, writers};
+use crate::claim::{self, connector, handle, requests, serve, wire, writers};
 use crate::clock::{self, Clock as _};
 use crate::configs;
 use crate::context;
 use crate::host;
 use crate::logs;
 use crate::usage;
-use crate::usage::post;
+use crate::usage::delivery;
 use crate::view;
 
-/// Longest the loop rests.
-const REST: time::Duration = time::Duration::from_secs(1);
+/// Upper bound of the time between two polls, and the interval of pruning and of setting gauges.
+const MAX_PAUSE: time::Duration = time::Duration::from_secs(1);
 
 /// The ledger's metrics.
 #[derive(Clone, Debug)]
@@ -41,7 +41,7 @@
 }
 
 impl Metrics {
-    /// Registers the metrics.
+    /// Registers the metrics with `on`.
     pub fn new(on: &metrics::Metrics) -> Self {
         let seconds = Histogram::new(histogram::exponential_buckets(0.001, 2.0, 13));
         Self {
@@ -62,7 +62,7 @@
         }
     }
 
-    fn told(&self, result: &Result<claim::Verdict, claim::Error>, took: time::Duration) {
+    fn record(&self, result: &Result<claim::Verdict, claim::Error>, took: time::Duration) {
         let verdict = match result {
             Ok(claim::Verdict::First) => "first",
             Ok(claim::Verdict::Taken(_)) => "taken",
@@ -84,30 +84,32 @@
     since: clock::Instant,
 }
 
-/// The whole state of the thread.
+/// The state of the duty.
 pub struct Ledger<L> {
     ctx: context::Context,
     partitions: u16,
-    /// Whether partitions are read before the first claim.
-    ahead: bool,
-    desk: desk::Desk,
-    /// The writers due by the view, also used for the writers that run here.
+    /// Whether the partitions assigned to this host are read before their first claim.
+    read_ahead: bool,
+    requests: requests::Requests,
+    /// Assignment of partitions to hosts, which decides which writers run here.
     table: writers::Table,
-    keep: keep::Keep<L>,
-    links: dial::Links,
+    registry: registry::Registry<L>,
+    connector: connector::Connector,
     shared: serve::Shared,
-    post: post::Post<L>,
+    delivery: delivery::Delivery<L>,
     metrics: Metrics,
     calls: collections::HashMap<Token, Call>,
     tokens: u64,
     connections: collections::HashMap<u64, mpsc::Sender<bytes::Bytes>>,
-    questions: collections::HashMap<host::HostId, Vec<wire::Question>>,
+    /// Requests to writers on other hosts, sent at the end of a poll.
+    outgoing: collections::HashMap<host::HostId, Vec<wire::ClaimRequest>>,
+    /// Replies by connection, sent at the end of a poll.
     replies: collections::HashMap<u64, Vec<(u64, wire::Reply)>>,
     pruned: clock::Instant,
 }
 
 impl<L: logs::Service> Ledger<L> {
-    /// The state of a process that begins.
+    /// The state at the start of the process.
     pub fn new(
         ctx: context::Context,
         settings: &configs::Node,
@@ -118,257 +120,272 @@
         let claim = &settings.claim;
         let window = time::Duration::from_secs(claim.window_s);
         let waiting = usize::try_from(claim.waiting).unwrap_or(usize::MAX);
-        let keep = Limits {
+        let registry = Limits {
             append_interval: time::Duration::from_millis(claim.group_ms),
             window,
             append_timeout: time::Duration::from_millis(claim.patience_ms),
             max_waiting: waiting,
         };
-        let desk = desk::Limits {
+        let requests = requests::Limits {
             partitions: claim.partitions,
             hedge: time::Duration::from_millis(claim.hedge_ms),
-            waiting,
+            max_waiting: waiting,
             window,
         };
         let inputs = shared.inputs.clone();
         Self {
             ctx,
             partitions: claim.partitions,
-            ahead: claim.ahead,
-            desk: desk::Desk::new(desk),
+            read_ahead: claim.ahead,
+            requests: requests::Requests::new(requests),
             table: writers::Table::new(claim.partitions),
-            keep: keep::Keep::new(keep, log.clone(), inputs.clone()),
-            links: dial::Links::default(),
-            post: post::Post::new(ctx, settings, log, inputs),
+            registry: registry::Registry::new(registry, log.clone(), inputs.clone()),
+            connector: connector::Connector::default(),
+            delivery: delivery::Delivery::new(ctx, settings, log, inputs),
             shared,
             metrics,
             calls: collections::HashMap::new(),
             tokens: 0,
             connections: collections::HashMap::new(),
-            questions: collections::HashMap::new(),
+            outgoing: collections::HashMap::new(),
             replies: collections::HashMap::new(),
             pruned: clock::Instant::ZERO,
         }
     }
 
-    /// When [`Ledger::turn`] is due.
+    /// When [`Ledger::poll`] is due.
     pub fn wake(&self) -> clock::Instant {
-        let rest = self.ctx.now() + REST;
-        let wakes = [self.desk.wake(), self.keep.wake(), self.post.wake()];
-        wakes.into_iter().flatten().min().unwrap_or(rest).min(rest)
+        let latest = self.ctx.now() + MAX_PAUSE;
+        let wakes = [self.requests.wake(), self.registry.wake(), self.delivery.wake()];
+        wakes.into_iter().flatten().min().unwrap_or(latest).min(latest)
     }
 
-    /// Whether everything counted is in the log.
+    /// Whether all counted usage is in the log.
     pub fn flushed(&self) -> bool {
-        self.post.is_empty()
+        self.delivery.is_empty()
     }
 
-    /// Notes that the log came back from an older copy.
+    /// Handles a log that was restored from an older copy.
     pub fn restored(&mut self, now: clock::Instant) {
-        self.post.restored(now);
+        self.delivery.restored(now);
     }
 
-    /// Takes a new view; begins to read for the partitions that are due here.
+    /// Applies a new view; starts the writers of partitions assigned to this host if these are to
+    /// be read ahead.
     pub fn update(&mut self, view: Arc<view::View>, now: clock::Instant) {
-        self.desk.update(&view);
+        self.requests.update(&view);
         self.table.update(&view);
-        self.post.update(&view);
-        if view.standing != view::Standing::Member || !self.ahead {
+        self.delivery.update(&view);
+        if view.standing != view::Standing::Member || !self.read_ahead {
             return;
         }
         for partition in 0..self.partitions {
-            if self.table.choice(partition, 0) == Some(self.shared.host) {
-                self.keep.open(partition, now);
+            if self.table.candidate(partition, 0) == Some(self.shared.host) {
+                self.registry.start(partition, now);
             }
         }
     }
 
-    /// Takes a claim of the call path.
+    /// Handles a claim of the call path.
     pub fn claim(&mut self, claim: handle::Claim, now: clock::Instant) {
         self.tokens += 1;
         let token = Token(self.tokens);
         self.calls.insert(token, Call { verdict: claim.verdict, since: now });
         let mut actions = Vec::new();
-        self.desk.claim(token, claim.entry, claim.deadline, now, &mut actions);
-        self.act(actions, now);
+        self.requests.claim(token, claim.entry, claim.deadline, now, &mut actions);
+        self.perform(actions, now);
     }
 
-    /// Takes a release of the call path.
+    /// Handles a release of the call path.
     pub fn release(&mut self, entry: Entry, now: clock::Instant) {
         let mut actions = Vec::new();
-        self.desk.release(entry, now, &mut actions);
-        self.act(actions, now);
+        self.requests.release(entry, now, &mut actions);
+        self.perform(actions, now);
     }
 
-    /// Takes what was counted.
+    /// Adds counted usage.
     pub fn count(&mut self, delta: &usage::Delta) {
-        self.post.count(delta);
+        self.delivery.count(delta);
     }
 
-    /// Takes an input.
-    pub fn take(&mut self, input: Input, now: clock::Instant) {
+    /// Handles an input.
+    pub fn handle(&mut self, input: Input, now: clock::Instant) {
         match input {
-            Input::Appended { place, ticket, end } => {
-                let answers = self.keep.appended(place, ticket, end, now);
-                self.answer(answers, now);
+            Input::Appended { writer, id, outcome } => {
+                let answers = self.registry.appended(writer, id, outcome, now);
+                self.deliver(answers, now);
+            }
+            Input::Read { writer, batch } => {
+                let answers = self.registry.read(writer, batch, now);
+                self.deliver(answers, now);
             }
-            Input::Read { place, batch } => {
-                let answers = self.keep.read(place, batch, now);
-                self.answer(answers, now);
+            Input::PeerConnected { number, frames } => {
+                drop(self.connections.insert(number, frames))
             }
-            Input::Joined { number, frames } => drop(self.connections.insert(number, frames)),
-            Input::Left { number } => drop(self.connections.remove(&number)),
-            Input::Asked { number, ask } => self.asked(number, ask, now),
-            Input::Told { tell } => self.told(tell, now),
-            Input::Ended { host, life } => {
-                if self.links.ended(host, life) {
-                    self.lost(host, now);
+            Input::PeerDisconnected { number } => drop(self.connections.remove(&number)),
+            Input::Request { number, request } => self.handle_request(number, request, now),
+            Input::Response { response } => self.handle_response(response, now),
+            Input::Disconnected { host, generation } => {
+                if self.connector.disconnected(host, generation) {
+                    self.disconnected(host, now);
                 }
             }
             Input::UsageAppended { success } => {
-                let stand = self.post.appended(success, now);
-                stand.into_iter().for_each(|(number, id)| self.stands(number, id));
+                let confirmed = self.delivery.appended(success, now);
+                confirmed.into_iter().for_each(|(number, id)| self.confirm_usage(number, id));
             }
         }
     }
 
-    /// Lets time pass and sends what has gathered.
-    pub fn turn(&mut self, now: clock::Instant, last: bool) {
+    /// Runs timers that are due and sends all gathered requests and replies. With `last`, counted
+    /// usage is sent without delay.
+    pub fn poll(&mut self, now: clock::Instant, last: bool) {
         let mut actions = Vec::new();
-        self.desk.tick(now, &mut actions);
-        self.act(actions, now);
-        let answers = self.keep.tick(now);
-        self.answer(answers, now);
-        if let Some((host, id, record)) = self.post.poll(now, self.ctx.clock.unix_millis(), last) {
-            let frame = wire::encode(&wire::Ask::Usage { id, record });
-            if !self.links.send(host, frame, &self.shared) {
-                self.post.lost(now);
+        self.requests.tick(now, &mut actions);
+        self.perform(actions, now);
+        let answers = self.registry.tick(now);
+        self.deliver(answers, now);
+        if let Some((host, id, record)) =
+            self.delivery.poll(now, self.ctx.clock.unix_millis(), last)
+        {
+            let frame = wire::encode(&wire::Request::Usage { id, record });
+            if !self.connector.send(host, frame, &self.shared) {
+                self.delivery.disconnected(now);
             }
         }
         self.flush(now);
         self.observe(now);
     }
 
-    /// Ends writers that are not needed, and sets the gauges, now and then.
+    /// Stops unneeded writers and sets the gauges, at intervals.
     fn observe(&mut self, now: clock::Instant) {
-        if now.since(self.pruned) < REST {
+        if now.since(self.pruned) < MAX_PAUSE {
             return;
         }
         self.pruned = now;
         let (table, own) = (&mut self.table, self.shared.host);
         let due: Vec<u16> =
-            (0..self.partitions).filter(|&p| table.choice(p, 0) == Some(own)).collect();
-        self.keep.prune(now, |partition| due.binary_search(&partition).is_ok());
+            (0..self.partitions).filter(|&p| table.candidate(p, 0) == Some(own)).collect();
+        self.registry.prune(now, |partition| due.binary_search(&partition).is_ok());
         let gauge = |gauge: &Gauge, n: usize| gauge.set(i64::try_from(n).unwrap_or(i64::MAX));
-        let [writers, current, held] = self.keep.counts();
+        let [writers, current, held] = self.registry.counts();
         gauge(&self.metrics.writers, writers);
         gauge(&self.metrics.current, current);
         gauge(&self.metrics.held, held);
-        gauge(&self.metrics.waiting, self.desk.waiting());
+        gauge(&self.metrics.waiting, self.requests.waiting());
     }
 
-    fn asked(&mut self, number: u64, ask: wire::Ask, now: clock::Instant) {
-        match ask {
-            wire::Ask::Claims(questions) => {
-                for question in questions {
-                    let origin = Origin::Peer { connection: number, id: question.id };
-                    let left = time::Duration::from_millis(u64::from(question.left_ms));
-                    self.ask(origin, question.entry, now + left, now);
+    fn handle_request(&mut self, number: u64, request: wire::Request, now: clock::Instant) {
+        match request {
+            wire::Request::Claims(claims) => {
+                for request in claims {
+                    let origin = Origin::Peer { connection: number, id: request.id };
+                    let remaining = time::Duration::from_millis(u64::from(request.remaining_ms));
+                    self.request(origin, request.entry, now + remaining, now);
                 }
             }
-            wire::Ask::Usage { id, record } => self.post.add(Some((number, id)), record),
+            wire::Request::Usage { id, record } => self.delivery.add(Some((number, id)), record),
         }
     }
 
-    fn ask(&mut self, origin: Origin, entry: Entry, deadline: clock::Instant, now: clock::Instant) {
+    fn request(
+        &mut self,
+        origin: Origin,
+        entry: Entry,
+        deadline: clock::Instant,
+        now: clock::Instant,
+    ) {
         let partition = writers::partition(entry.key, self.partitions);
-        let answers = self.keep.ask(partition, origin, entry, deadline, now);
-        self.answer(answers, now);
+        let answers = self.registry.request(partition, origin, entry, deadline, now);
+        self.deliver(answers, now);
     }
 
-    fn told(&mut self, tell: wire::Tell, now: clock::Instant) {
-        match tell {
-            wire::Tell::Claims(replies) => {
+    fn handle_response(&mut self, response: wire::Response, now: clock::Instant) {
+        match response {
+            wire::Response::Claims(replies) => {
                 let mut actions = Vec::new();
                 for (id, reply) in replies {
-                    self.desk.answer(id, reply.into(), now, &mut actions);
+                    self.requests.answer(id, reply.into(), now, &mut actions);
                 }
-                self.act(actions, now);
+                self.perform(actions, now);
             }
-            wire::Tell::Usage { id } => self.post.stands(id, now),
+            wire::Response::Usage { id } => self.delivery.confirm(id, now),
         }
     }
 
-    /// Brings answers of the writers here to those who asked.
-    fn answer(&mut self, answers: Vec<(Origin, Answer)>, now: clock::Instant) {
+    /// Passes answers of local writers to the origins of their requests.
+    fn deliver(&mut self, answers: Vec<(Origin, Answer)>, now: clock::Instant) {
         let mut actions = Vec::new();
         for (origin, answer) in answers {
             match origin {
-                Origin::Own(id) => self.desk.answer(id, answer, now, &mut actions),
+                Origin::Own(id) => self.requests.answer(id, answer, now, &mut actions),
                 Origin::Peer { connection, id } => {
                     self.replies.entry(connection).or_default().push((id, answer.into()));
                 }
             }
         }
         if !actions.is_empty() {
-            self.act(actions, now);
+            self.perform(actions, now);
         }
     }
 
-    fn act(&mut self, actions: Vec<desk::Action>, now: clock::Instant) {
+    fn perform(&mut self, actions: Vec<requests::Action>, now: clock::Instant) {
         for action in actions {
             match action {
-                desk::Action::Ask { host, id, entry, deadline } if host == self.shared.host => {
-                    self.ask(Origin::Own(id), entry, deadline, now);
+                requests::Action::Send { host, id, entry, deadline }
+                    if host == self.shared.host =>
+                {
+                    self.request(Origin::Own(id), entry, deadline, now);
                 }
-                desk::Action::Ask { host, id, entry, deadline } => {
-                    let left = deadline.since(now).as_millis();
-                    let left_ms = u32::try_from(left).unwrap_or(u32::MAX);
-                    let question = wire::Question { id, entry, left_ms };
-                    self.questions.entry(host).or_default().push(question);
+                requests::Action::Send { host, id, entry, deadline } => {
+                    let remaining = deadline.since(now).as_millis();
+                    let remaining_ms = u32::try_from(remaining).unwrap_or(u32::MAX);
+                    let request = wire::ClaimRequest { id, entry, remaining_ms };
+                    self.outgoing.entry(host).or_default().push(request);
                 }
-                desk::Action::Tell(token, result) => {
+                requests::Action::Reply(token, result) => {
                     let Some(call) = self.calls.remove(&token) else { continue };
-                    self.metrics.told(&result, now.since(call.since));
-                    // A call that has ended meanwhile releases its claim itself.
+                    self.metrics.record(&result, now.since(call.since));
+                    // If the call has ended meanwhile, it releases its claim itself.
                     let _ = call.verdict.send(result);
                 }
             }
         }
     }
 
-    fn lost(&mut self, host: host::HostId, now: clock::Instant) {
-        self.post.lost(now);
+    fn disconnected(&mut self, host: host::HostId, now: clock::Instant) {
+        self.delivery.disconnected(now);
         let mut actions = Vec::new();
-        self.desk.lost(host, now, &mut actions);
-        self.act(actions, now);
+        self.requests.disconnected(host, now, &mut actions);
+        self.perform(actions, now);
     }
 
-    fn stands(&mut self, number: u64, id: u64) {
+    fn confirm_usage(&mut self, number: u64, id: u64) {
         if let Some(frames) = self.connections.get(&number) {
-            // A full connection is about to be closed; the node sends the total again.
-            let _ = frames.try_send(wire::encode(&wire::Tell::Usage { id }));
+            // A connection whose queue is full is about to be closed; its node sends the total
+            // again.
+            let _ = frames.try_send(wire::encode(&wire::Response::Usage { id }));
         }
     }
 
-    /// Sends what has gathered for each connection.
+    /// Sends the gathered replies and requests of each connection.
     fn flush(&mut self, now: clock::Instant) {
         for (number, replies) in std::mem::take(&mut self.replies) {
             let Some(frames) = self.connections.get(&number) else { continue };
-            let sent = replies.chunks(wire::MOST).all(|chunk| {
-                frames.try_send(wire::encode(&wire::Tell::Claims(chunk.to_vec()))).is_ok()
+            let sent = replies.chunks(wire::MAX_PER_FRAME).all(|chunk| {
+                frames.try_send(wire::encode(&wire::Response::Claims(chunk.to_vec()))).is_ok()
             });
             if !sent {
                 self.connections.remove(&number);
             }
         }
-        for (host, questions) in std::mem::take(&mut self.questions) {
-            let sent = questions.chunks(wire::MOST).all(|chunk| {
-                let frame = wire::encode(&wire::Ask::Claims(chunk.to_vec()));
-                self.links.send(host, frame, &self.shared)
+        for (host, outgoing) in std::mem::take(&mut self.outgoing) {
+            let sent = outgoing.chunks(wire::MAX_PER_FRAME).all(|chunk| {
+                let frame = wire::encode(&wire::Request::Claims(chunk.to_vec()));
+                self.connector.send(host, frame, &self.shared)
             });
             if !sent {
-                self.lost(host, now);
+                self.disconnected(host, now);
             }
         }
     }
--- a/src/claim/mod.rs
+++ b/src/claim/mod.rs
@@ -1,8 +1,8 @@
 //! Claims of idempotency keys in the log.
 //!
-//! Before a call with an idempotency key runs, its entry claims the key. The claims of one
+//! Before a call with an idempotency key runs, its entry node claims the key. The claims of one
 //! partition of the keys are records of one stream of the log; the first claim of a key in log
-//! order wins. No lease and no leader is believed: only that order counts.
+//! order wins. There are no leases and no leader: only that order counts.
 
 use std::future;
 use std::time;
@@ -13,15 +13,15 @@
 use crate::host;
 
 pub mod circuit;
-pub mod desk;
-pub mod dial;
+pub mod connector;
 pub mod event;
 pub mod fold;
 pub mod follow;
 pub mod handle;
-pub mod keep;
 pub mod ledger;
 pub mod record;
+pub mod registry;
+pub mod requests;
 pub mod serve;
 pub mod shell;
 pub mod wire;
@@ -36,15 +36,15 @@
 
 const KEY_CONTEXT: &str = "dandelionspool idempotency key v1";
 
-/// An idempotency key with the method and path it was sent to, hashed.
+/// Hash of an idempotency key with the method and path of its request.
 ///
-/// Invariant: it depends on nothing that a configuration says. A repeat after its route has moved
-/// to another service has the same key, and does not run there again.
+/// Invariant: it does not depend on the configuration. A repeated request whose route has moved to
+/// another service meanwhile has the same key and does not run there again.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Key(pub [u8; KEY_BYTES]);
 
 impl Key {
-    /// The key named `text` of a request with `method` to `path`, the query left out.
+    /// The key `text` of a request with `method` to `path`, which has no query.
     pub fn new(method: &str, path: &str, text: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key(KEY_CONTEXT);
         for part in [method, path] {
@@ -58,53 +58,53 @@
     }
 }
 
-/// Who claims a key: one call at one entry.
+/// The claimant of a key: one call at one entry node.
 ///
-/// Invariant: an entry uses each `number` once in one life of its process, so that a claim that
-/// is repeated after a lost answer is known to be the same.
+/// Invariant: a process uses each `number` once, so that a claim that is repeated after a lost
+/// answer is recognised as the same.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Attempt {
-    /// The entry.
+    /// Host of the entry node.
     pub host: host::HostId,
-    /// Which life of the entry's process.
+    /// Incarnation of the entry node's process.
     pub incarnation: u64,
-    /// Number of the call in that life.
+    /// Number of the call in that process.
     pub number: u64,
 }
 
-/// What the log's order says about a claim.
+/// Verdict on a claim by the order of the log.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Verdict {
     /// The claim is the key's first: the call may run, once.
     First,
-    /// Another attempt claimed the key before.
+    /// This other attempt holds the key.
     Taken(Attempt),
 }
 
-/// Why there is no verdict. The call must not run; it is answered as not run.
+/// Why there is no verdict. The call must not run, and its answer says that it did not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
     /// The log or the key's writer can't be reached.
     #[error("claims are unavailable, try again in {} ms", retry_after.as_millis())]
     Unavailable {
-        /// When another try may be worth it.
+        /// How long to wait before a retry.
         retry_after: time::Duration,
     },
-    /// More claims wait than this node keeps.
+    /// Too many claims wait on this node.
     #[error("too many claims wait, try again in {} ms", retry_after.as_millis())]
     Busy {
-        /// When another try may be worth it.
+        /// How long to wait before a retry.
         retry_after: time::Duration,
     },
-    /// The deadline passed before the verdict came.
+    /// The deadline passed before the verdict.
     #[error("the deadline passed before the verdict on the claim")]
     Late,
 }
 
-/// The claims of this mesh as the call path uses them.
+/// Access to the claims of the mesh, as the call path uses it.
 pub trait Claims: Clone + 'static {
-    /// Claims `key` for `attempt`. After an error the claim is given up: it is released in the
-    /// background, so that a later try with the same key can win.
+    /// Claims `key` for `attempt`. After an error the claim is released in the background, so that
+    /// a later attempt with the same key can win.
     fn claim(
         &self,
         key: Key,
@@ -112,7 +112,7 @@
         deadline: clock::Instant,
     ) -> impl future::Future<Output = Result<Verdict, Error>>;
 
-    /// Gives up the claim of `attempt` on `key` after its call is proven not to have run. Does
-    /// not wait; the release is repeated in the background until it stands in the log.
+    /// Releases the claim of `attempt` on `key` after its call is proven not to have run. It does
+    /// not wait; the release is retried in the background until it is in the log.
     fn release(&self, key: Key, attempt: Attempt);
 }
--- a/src/claim/record.rs
+++ b/src/claim/record.rs
@@ -1,4 +1,4 @@
-//! Records of a `claims` stream: many claims and releases in one append.
+//! Records of a `claims` stream; one record holds many claims and releases.
 
 use std::collections;
 
@@ -11,15 +11,15 @@
 /// First byte of every record; a reader skips records of other formats.
 const FORMAT: u8 = 1;
 
-/// Most entries in one record.
-pub const MOST: usize = 8192;
+/// Limit on the entries of one record.
+pub const MAX_ENTRIES: usize = 8192;
 
-/// What an entry asks for.
+/// Operation of an entry.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Op {
-    /// The attempt wants the key.
+    /// The attempt claims the key.
     Claim,
-    /// The attempt gives the key up, for good.
+    /// The attempt gives up the key and can never win it again.
     Release,
 }
 
@@ -28,68 +28,68 @@
 pub struct Entry {
     /// The key.
     pub key: claim::Key,
-    /// Who asks.
+    /// The attempt that claims or releases it.
     pub attempt: claim::Attempt,
-    /// What for.
+    /// The operation.
     pub op: Op,
 }
 
-/// Why a record can't be read. Such a record claims nothing, for every reader alike.
+/// Why a record can't be read. Every reader ignores such a record, so all agree on the verdicts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// It begins with another format number.
-    #[error("a record of another format")]
+    /// Its first byte is another format number.
+    #[error("the record has an unknown format")]
     Format,
-    /// It does not decode, or an entry names a life that the record lacks.
-    #[error("a malformed record")]
+    /// It does not decode, or an entry refers to a process that is not in its table.
+    #[error("the record is malformed")]
     Malformed,
 }
 
-/// A life of a host's process.
+/// A process on a host.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub struct Life {
+pub struct Process {
     /// The host.
     pub host: host::HostId,
-    /// Which life.
+    /// Which process on that host.
     pub incarnation: u64,
 }
 
-/// An entry as written: the life of its attempt by its place in the record's table.
+/// An entry as written; `process` is an index into the table of processes of the record.
 #[derive(Deserialize, Serialize)]
 struct Packed {
     key: claim::Key,
-    life: u32,
+    process: u32,
     number: u64,
     release: bool,
 }
 
 #[derive(Deserialize, Serialize)]
 struct Body {
-    lives: Vec<Life>,
+    processes: Vec<Process>,
     entries: Vec<Packed>,
 }
 
-/// The record of `entries`.
+/// Encodes `entries` as one record.
 pub fn encode(entries: &[Entry]) -> Bytes {
-    let mut lives = Vec::new();
-    let mut places = collections::HashMap::new();
+    let mut processes = Vec::new();
+    let mut indexes = collections::HashMap::new();
     let packed = entries.iter().map(|entry| {
         let attempt = entry.attempt;
-        let life = Life { host: attempt.host, incarnation: attempt.incarnation };
-        let place = *places.entry(life).or_insert_with(|| {
-            lives.push(life);
-            u32::try_from(lives.len() - 1).unwrap_or(u32::MAX)
+        let process = Process { host: attempt.host, incarnation: attempt.incarnation };
+        let index = *indexes.entry(process).or_insert_with(|| {
+            processes.push(process);
+            u32::try_from(processes.len() - 1).unwrap_or(u32::MAX)
         });
         let release = entry.op == Op::Release;
-        Packed { key: entry.key, life: place, number: attempt.number, release }
+        Packed { key: entry.key, process: index, number: attempt.number, release }
     });
     let entries = packed.collect();
-    let body = Body { lives, entries };
-    // Writing to a vector can't fail; an empty record would claim nothing.
+    let body = Body { processes, entries };
+    // Writing to a vector can't fail; readers would ignore an empty record.
     postcard::to_extend(&body, vec![FORMAT]).map(Bytes::from).unwrap_or_default()
 }
 
-/// The entries of `record`.
+/// Decodes the entries of `record`.
 ///
 /// # Errors
 ///
@@ -104,10 +104,10 @@
         return Err(Error::Malformed);
     }
     let unpack = |packed: &Packed| {
-        let life = *body.lives.get(packed.life as usize)?;
+        let process = *body.processes.get(packed.process as usize)?;
         let attempt = claim::Attempt {
-            host: life.host,
-            incarnation: life.incarnation,
+            host: process.host,
+            incarnation: process.incarnation,
             number: packed.number,
         };
         let op = if packed.release { Op::Release } else { Op::Claim };
--- a/src/claim/desk.rs
+++ b/src/claim/requests.rs
@@ -1,4 +1,5 @@
-//! Claims of this node's own calls: whom to ask, when to ask another one, when to give up.
+//! Request handler for the claims of this node's own calls: which writer gets a request, when a
+//! second writer is asked as well, and when a claim is given up.
 
 use std::collections;
 use std::time;
@@ -12,41 +13,41 @@
 use crate::host;
 use crate::view;
 
-/// Pause before a release is asked for again.
-const AGAIN: time::Duration = time::Duration::from_millis(500);
+/// Pause before a release is requested again, and the retry-after of a refused claim.
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(500);
 
-/// How often waiting claims are looked at.
-const TICK: time::Duration = time::Duration::from_millis(10);
+/// How often deadlines of waiting claims and releases are checked.
+const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
-/// How the desk works.
+/// Limits of the request handler.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Streams that the keys are spread over.
+    /// Number of streams over which the keys are partitioned.
     pub partitions: u16,
-    /// Longest wait for a writer's answer before the next one is asked as well.
+    /// How long a writer may take to answer before the next one is asked as well.
     pub hedge: time::Duration,
-    /// Most claims that wait, and most releases.
-    pub waiting: usize,
-    /// How long a release is worth repeating: as long as claims are remembered.
+    /// Limit on waiting claims, and on waiting releases.
+    pub max_waiting: usize,
+    /// How long a release is retried: as long as claims are remembered.
     pub window: time::Duration,
 }
 
-/// What the shell has to do.
+/// What the ledger has to do.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Ask the writer on `host`, which may be this one.
-    Ask {
-        /// The writer.
+    /// Send a request to the writer on `host`, which may be this host.
+    Send {
+        /// The host of the writer.
         host: host::HostId,
-        /// Names the question.
+        /// Identifies the request.
         id: u64,
-        /// The question.
+        /// The claim or release.
         entry: Entry,
-        /// Until when an answer is of use.
+        /// When an answer is no longer needed.
         deadline: clock::Instant,
     },
-    /// Tell the call its verdict.
-    Tell(Token, Result<Verdict, claim::Error>),
+    /// Return the verdict to the call.
+    Reply(Token, Result<Verdict, claim::Error>),
 }
 
 /// A claim that waits for its verdict.
@@ -57,67 +58,67 @@
     deadline: clock::Instant,
     /// Writers asked so far.
     asked: Vec<host::HostId>,
-    /// Those of them that may still answer.
-    open: Vec<host::HostId>,
-    /// When the last one was asked.
+    /// Those of them whose answer is outstanding.
+    outstanding: Vec<host::HostId>,
+    /// When the last writer was asked.
     since: clock::Instant,
 }
 
-/// A release that does not stand in the log yet.
+/// A release that is not confirmed to be in the log yet.
 #[derive(Debug)]
 struct Release {
     id: u64,
-    /// Tries made.
-    tries: usize,
-    /// When it is asked for again.
+    /// Requests sent so far.
+    attempts: usize,
+    /// When it is requested again.
     due: clock::Instant,
-    /// When it is of no use any more.
+    /// When retrying ends, since the claim is forgotten by then.
     until: clock::Instant,
 }
 
-/// The claims and releases of one node.
+/// The claims and releases of one node that wait for an answer.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Requests {
     limits: Limits,
     table: writers::Table,
     claims: collections::HashMap<u64, Claim>,
     releases: collections::HashMap<Entry, Release>,
-    /// Entry of each release by the number of its question.
-    asked: collections::HashMap<u64, Entry>,
-    /// By partition: whether its writers said that the log fails.
+    /// The release that each request is for.
+    release_ids: collections::HashMap<u64, Entry>,
+    /// By partition: breaker that opens when its writers report that the log fails.
     circuits: Vec<circuit::Circuit>,
     ids: u64,
-    ticked: clock::Instant,
+    last_check: clock::Instant,
 }
 
-impl Desk {
-    /// A desk that knows no hosts yet.
+impl Requests {
+    /// A request handler that knows no hosts yet.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
             table: writers::Table::new(limits.partitions),
             claims: collections::HashMap::new(),
             releases: collections::HashMap::new(),
-            asked: collections::HashMap::new(),
+            release_ids: collections::HashMap::new(),
             circuits: vec![circuit::Circuit::default(); usize::from(limits.partitions)],
             ids: 0,
-            ticked: clock::Instant::ZERO,
+            last_check: clock::Instant::ZERO,
         }
     }
 
-    /// Takes a new view of the hosts.
+    /// Updates the writers from a new view of the hosts.
     pub fn update(&mut self, view: &view::View) {
         self.table.update(view);
     }
 
-    /// Claims and releases that wait.
+    /// Number of claims and releases that wait.
     pub fn waiting(&self) -> usize {
         self.claims.len() + self.releases.len()
     }
 
-    /// When [`Desk::tick`] is due.
+    /// When [`Requests::tick`] is due.
     pub fn wake(&self) -> Option<clock::Instant> {
-        (self.waiting() > 0).then(|| self.ticked + TICK)
+        (self.waiting() > 0).then(|| self.last_check + CHECK_INTERVAL)
     }
 
     /// Claims the key of `entry` for the call `token`.
@@ -131,40 +132,40 @@
     ) {
         let partition = self.partition(&entry);
         let refusal = self.refusal(partition, deadline, now);
-        let writer = self.table.choice(partition, 0);
+        let writer = self.table.candidate(partition, 0);
         let (None, Some(host)) = (refusal, writer) else {
-            let error = refusal.unwrap_or(claim::Error::Unavailable { retry_after: AGAIN });
-            return actions.push(Action::Tell(token, Err(error)));
+            let error = refusal.unwrap_or(claim::Error::Unavailable { retry_after: RETRY_DELAY });
+            return actions.push(Action::Reply(token, Err(error)));
         };
         self.ids += 1;
         let asked = vec![host];
-        let open = asked.clone();
-        let claim = Claim { token, entry, deadline, asked, open, since: now };
+        let outstanding = asked.clone();
+        let claim = Claim { token, entry, deadline, asked, outstanding, since: now };
         self.claims.insert(self.ids, claim);
-        actions.push(Action::Ask { host, id: self.ids, entry, deadline });
+        actions.push(Action::Send { host, id: self.ids, entry, deadline });
     }
 
-    /// Gives up the claim of `entry`, whatever its operation.
+    /// Releases the key of `entry`, whose operation is ignored.
     pub fn release(&mut self, entry: Entry, now: clock::Instant, actions: &mut Vec<Action>) {
         let entry = Entry { op: Op::Release, ..entry };
-        if self.releases.contains_key(&entry) || self.releases.len() >= self.limits.waiting {
+        if self.releases.contains_key(&entry) || self.releases.len() >= self.limits.max_waiting {
             return;
         }
         self.ids += 1;
         let until = now + self.limits.window;
-        let release = Release { id: self.ids, tries: 0, due: now, until };
-        self.asked.insert(self.ids, entry);
+        let release = Release { id: self.ids, attempts: 0, due: now, until };
+        self.release_ids.insert(self.ids, entry);
         self.releases.insert(entry, release);
         self.repeat(entry, now, actions);
     }
 
-    /// Takes what the writer on `host` answered.
+    /// Handles the answer of a writer to the request `id`.
     pub fn answer(&mut self, id: u64, answer: Answer, now: clock::Instant, to: &mut Vec<Action>) {
-        if let Some(entry) = self.asked.get(&id).copied() {
+        if let Some(entry) = self.release_ids.get(&id).copied() {
             if answer == Answer::Released {
-                self.asked.remove(&id);
+                self.release_ids.remove(&id);
                 self.releases.remove(&entry);
-                self.closed(&entry);
+                self.log_succeeded(&entry);
             }
             return;
         }
@@ -175,50 +176,55 @@
             Answer::Failed { error, .. } => Err(error),
         };
         match result {
-            Ok(_) => self.closed(&claim.entry),
-            Err(claim::Error::Unavailable { .. }) => self.opened(&claim.entry, now),
+            Ok(_) => self.log_succeeded(&claim.entry),
+            Err(claim::Error::Unavailable { .. }) => self.log_failed(&claim.entry, now),
             Err(_) => {}
         }
         let written = !matches!(answer, Answer::Failed { written: false, .. });
-        // Another writer that was asked may write the claim only later.
+        // Another writer that was asked as well may still write the claim.
         let stray = claim.asked.len() > 1;
         if result != Ok(Verdict::First) && (stray || (result.is_err() && written)) {
             self.release(claim.entry, now, to);
         }
-        to.push(Action::Tell(claim.token, result));
+        to.push(Action::Reply(claim.token, result));
     }
 
-    /// Notes that the connection to the writer on `host` failed: asks the next one.
-    pub fn lost(&mut self, host: host::HostId, now: clock::Instant, actions: &mut Vec<Action>) {
-        let ids = self.due(|claim| claim.open.contains(&host));
+    /// Handles a failed connection to `host`: claims that wait for its writer go to the next one.
+    pub fn disconnected(
+        &mut self,
+        host: host::HostId,
+        now: clock::Instant,
+        actions: &mut Vec<Action>,
+    ) {
+        let ids = self.matching(|claim| claim.outstanding.contains(&host));
         for id in ids {
             let Some(claim) = self.claims.get_mut(&id) else { continue };
-            claim.open.retain(|&open| open != host);
-            if !claim.open.is_empty() || self.next(id, now, actions) {
+            claim.outstanding.retain(|&asked| asked != host);
+            if !claim.outstanding.is_empty() || self.ask_next(id, now, actions) {
                 continue;
             }
             let Some(claim) = self.claims.remove(&id) else { continue };
             self.release(claim.entry, now, actions);
-            let error = claim::Error::Unavailable { retry_after: AGAIN };
-            actions.push(Action::Tell(claim.token, Err(error)));
+            let error = claim::Error::Unavailable { retry_after: RETRY_DELAY };
+            actions.push(Action::Reply(claim.token, Err(error)));
         }
     }
 
-    /// Looks at deadlines and at what has waited long.
+    /// Ends claims past their deadline, asks further writers and repeats releases that are due.
     pub fn tick(&mut self, now: clock::Instant, actions: &mut Vec<Action>) {
-        if now.since(self.ticked) < TICK {
+        if now.since(self.last_check) < CHECK_INTERVAL {
             return;
         }
-        self.ticked = now;
-        let late: Vec<u64> = self.due(|claim| claim.deadline <= now);
+        self.last_check = now;
+        let late: Vec<u64> = self.matching(|claim| claim.deadline <= now);
         for id in late {
             let Some(claim) = self.claims.remove(&id) else { continue };
             self.release(claim.entry, now, actions);
-            actions.push(Action::Tell(claim.token, Err(claim::Error::Late)));
+            actions.push(Action::Reply(claim.token, Err(claim::Error::Late)));
         }
         let hedge = self.limits.hedge;
-        for id in self.due(|claim| now.since(claim.since) >= hedge) {
-            self.next(id, now, actions);
+        for id in self.matching(|claim| now.since(claim.since) >= hedge) {
+            self.ask_next(id, now, actions);
         }
         let due = self.releases.iter().filter(|(_, r)| r.due <= now);
         let due: Vec<Entry> = due.map(|(&entry, _)| entry).collect();
@@ -227,7 +233,7 @@
         }
     }
 
-    fn due(&self, is: impl Fn(&Claim) -> bool) -> Vec<u64> {
+    fn matching(&self, is: impl Fn(&Claim) -> bool) -> Vec<u64> {
         self.claims.iter().filter(|(_, claim)| is(claim)).map(|(&id, _)| id).collect()
     }
 
@@ -244,56 +250,56 @@
         if deadline <= now {
             return Some(claim::Error::Late);
         }
-        if self.claims.len() >= self.limits.waiting {
-            return Some(claim::Error::Busy { retry_after: AGAIN });
+        if self.claims.len() >= self.limits.max_waiting {
+            return Some(claim::Error::Busy { retry_after: RETRY_DELAY });
         }
         let circuit = self.circuits.get(usize::from(partition))?;
-        circuit.open(now).map(|retry_after| claim::Error::Unavailable { retry_after })
+        circuit.open_for(now).map(|retry_after| claim::Error::Unavailable { retry_after })
     }
 
-    /// Asks the next writer, while there is one not asked yet; tells whether there was.
-    fn next(&mut self, id: u64, now: clock::Instant, actions: &mut Vec<Action>) -> bool {
+    /// Asks the next writer for the claim `id`; returns whether one was left to ask.
+    fn ask_next(&mut self, id: u64, now: clock::Instant, actions: &mut Vec<Action>) -> bool {
         let Some(claim) = self.claims.get_mut(&id) else { return false };
         let partition = writers::partition(claim.entry.key, self.limits.partitions);
-        let choice = self.table.choice(partition, claim.asked.len());
+        let choice = self.table.candidate(partition, claim.asked.len());
         claim.since = now;
         if let Some(host) = choice.filter(|host| !claim.asked.contains(host)) {
             claim.asked.push(host);
-            claim.open.push(host);
+            claim.outstanding.push(host);
             let Claim { entry, deadline, .. } = *claim;
-            actions.push(Action::Ask { host, id, entry, deadline });
+            actions.push(Action::Send { host, id, entry, deadline });
             return true;
         }
         false
     }
 
-    /// Asks for a release again, of one writer after the other.
+    /// Requests a release again, from the next candidate writer each time.
     fn repeat(&mut self, entry: Entry, now: clock::Instant, actions: &mut Vec<Action>) {
         let partition = self.partition(&entry);
         let Some(release) = self.releases.get_mut(&entry) else { return };
         if release.until <= now {
-            self.asked.remove(&release.id);
+            self.release_ids.remove(&release.id);
             self.releases.remove(&entry);
             return;
         }
-        let choice = self.table.choice(partition, release.tries);
-        release.tries += 1;
-        release.due = now + AGAIN;
+        let choice = self.table.candidate(partition, release.attempts);
+        release.attempts += 1;
+        release.due = now + RETRY_DELAY;
         if let Some(host) = choice {
-            let (id, deadline) = (release.id, now + AGAIN);
-            actions.push(Action::Ask { host, id, entry, deadline });
+            let (id, deadline) = (release.id, now + RETRY_DELAY);
+            actions.push(Action::Send { host, id, entry, deadline });
         }
     }
 
-    fn closed(&mut self, entry: &Entry) {
+    fn log_succeeded(&mut self, entry: &Entry) {
         let partition = usize::from(self.partition(entry));
         self.circuits.get_mut(partition).into_iter().for_each(circuit::Circuit::succeed);
     }
 
-    fn opened(&mut self, entry: &Entry, now: clock::Instant) {
+    fn log_failed(&mut self, entry: &Entry, now: clock::Instant) {
         let partition = usize::from(self.partition(entry));
         if let Some(circuit) = self.circuits.get_mut(partition)
-            && circuit.open(now).is_none()
+            && circuit.open_for(now).is_none()
         {
             circuit.fail(now);
         }
--- a/src/claim/serve.rs
+++ b/src/claim/serve.rs
@@ -1,4 +1,4 @@
-//! Connections from other nodes to the writers of this one.
+//! Serves connections from other nodes to the claim writers of this node.
 
 use std::net;
 use std::sync::Arc;
@@ -17,54 +17,55 @@
 use crate::seal;
 use crate::traffic;
 
-/// Connections served at once; a writer may have one from each node.
-const CONNECTIONS: usize = 8192;
+/// Limit on connections served at once; every other node may hold one.
+const MAX_CONNECTIONS: usize = 8192;
 
-/// Longest a connection may take to greet, or to take a frame.
-const PATIENCE: time::Duration = time::Duration::from_secs(5);
+/// How long a connection may take to send its greeting or to accept a frame.
+const IO_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
-/// Frames that may wait for a connection. Full: the connection is closed, and its node asks again.
-const FRAMES: usize = 256;
+/// Frames that may wait for one connection. When the queue is full, the connection is closed and
+/// its node repeats its requests.
+const FRAME_CAPACITY: usize = 256;
 
-/// How long the listener rests after a failed accept.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(50);
 
-/// Frames over a connection.
+/// A connection that carries length-delimited frames.
 pub type Framed = codec::Framed<TcpStream, codec::LengthDelimitedCodec>;
 
-/// What the connections share.
+/// State shared by all connections.
 #[derive(Clone)]
 pub struct Shared {
-    /// This host as the others know it.
+    /// This host, under the id by which other hosts address it.
     pub host: host::HostId,
-    /// Seal of the mesh.
+    /// Authenticates greetings with the mesh's key.
     pub seal: seal::Seal,
-    /// To the loop of the ledger's thread.
+    /// Inputs of the ledger duty's loop.
     pub inputs: mpsc::Sender<Input>,
     /// Counters of control traffic.
     pub traffic: Arc<traffic::Traffic>,
 }
 
-/// `stream` as frames.
+/// Wraps `stream` in a frame codec.
 pub fn framed(stream: TcpStream) -> Framed {
     let codec =
         codec::LengthDelimitedCodec::builder().max_frame_length(wire::FRAME_BYTES).new_codec();
     codec::Framed::new(stream, codec)
 }
 
-/// Accepts connections for ever.
+/// Accepts connections until its task is aborted.
 pub async fn accept(listener: TcpListener, shared: Shared) {
-    let places = Arc::new(Semaphore::new(CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let mut number = 0;
     loop {
-        let Ok(place) = Arc::clone(&places).acquire_owned().await else { return };
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
         match listener.accept().await {
             Ok((stream, peer)) => {
                 number += 1;
                 let (shared, number) = (shared.clone(), number);
                 task::spawn_local(async move {
                     connection(stream, peer, number, &shared).await;
-                    drop(place);
+                    drop(permit);
                 });
             }
             Err(error) => {
@@ -80,31 +81,31 @@
         log::debug!(error:% = error; "can't disable delays of a connection");
     }
     let mut framed = framed(stream);
-    if !greeted(&mut framed, shared).await {
+    if !is_greeted(&mut framed, shared).await {
         shared.traffic.of(traffic::Purpose::Ledger).dropped();
-        log::warn!(peer:% = peer; "a stranger's connection to the ledger was closed");
+        log::warn!(peer:% = peer; "closed an unauthenticated connection to the ledger");
         return;
     }
-    let (frames, queue) = mpsc::channel(FRAMES);
-    if shared.inputs.send(Input::Joined { number, frames }).await.is_err() {
+    let (frames, queue) = mpsc::channel(FRAME_CAPACITY);
+    if shared.inputs.send(Input::PeerConnected { number, frames }).await.is_err() {
         return;
     }
-    exchange(framed, queue, shared, |ask| Input::Asked { number, ask }).await;
+    exchange(framed, queue, shared, |request| Input::Request { number, request }).await;
     // A closed channel means that the duty has ended.
-    let _ = shared.inputs.send(Input::Left { number }).await;
+    let _ = shared.inputs.send(Input::PeerDisconnected { number }).await;
 }
 
-/// Whether the first frame is a greeting of this mesh to this host.
-async fn greeted(framed: &mut Framed, shared: &Shared) -> bool {
-    let first = tokio::time::timeout(PATIENCE, framed.next()).await;
+/// Whether the first frame is a greeting sealed by this mesh and addressed to this host.
+async fn is_greeted(framed: &mut Framed, shared: &Shared) -> bool {
+    let first = tokio::time::timeout(IO_TIMEOUT, framed.next()).await;
     let Ok(Some(Ok(frame))) = first else { return false };
     let body = shared.seal.open(&frame).ok();
     let hello = body.and_then(wire::decode::<wire::Hello>);
     hello.is_some_and(|hello| hello.to == shared.host)
 }
 
-/// Carries frames both ways until the connection ends, is told something malformed, or the loop
-/// drops its end of `queue`.
+/// Carries frames in both directions until the connection ends, a malformed frame arrives, or the
+/// loop drops the sender of `queue`.
 pub async fn exchange<T: serde::de::DeserializeOwned>(
     mut framed: Framed,
     mut queue: mpsc::Receiver<Bytes>,
@@ -128,7 +129,7 @@
             frame = queue.recv() => {
                 let Some(frame) = frame else { return };
                 counts.sent(frame.len());
-                let sent = tokio::time::timeout(PATIENCE, framed.send(frame)).await;
+                let sent = tokio::time::timeout(IO_TIMEOUT, framed.send(frame)).await;
                 if !matches!(sent, Ok(Ok(()))) {
                     return;
                 }
--- a/src/claim/shell.rs
+++ b/src/claim/shell.rs
@@ -1,4 +1,4 @@
-//! The thread of the ledger: claims and usage on their way to the log.
+//! The ledger duty: sends claims and usage to the log.
 
 use std::sync::Arc;
 use std::time;
@@ -8,7 +8,7 @@
 use tokio::task;
 
 use crate::admin::metrics;
-use crate::claim::event::{End, Ticket};
+use crate::claim::event::{AppendId, AppendOutcome};
 use crate::claim::{handle, ledger, serve, wire};
 use crate::clock;
 use crate::configs;
@@ -22,112 +22,115 @@
 use crate::usage;
 use crate::view;
 
-/// Inputs that may wait for the loop. Full: whoever has one waits.
-const INPUTS: usize = 1024;
+/// Inputs that may wait for the loop. When the queue is full, senders wait.
+const INPUT_CAPACITY: usize = 1024;
 
-/// Inputs taken at once, so that what they cause shares frames and appends.
+/// Inputs handled in one turn of the loop, so that their requests share frames and appends.
 const BURST: usize = 256;
 
-/// Longest rest of the ledger; what it waits for wakes it before.
-const REST: time::Duration = time::Duration::from_secs(3);
+/// Upper bound of the loop's sleep; events and timers wake it earlier.
+const MAX_PAUSE: time::Duration = time::Duration::from_secs(3);
 
-/// What joins the ledger's duty to the others.
+/// Channels that connect the ledger duty with the other duties.
 #[derive(Debug)]
 pub struct Wiring<L> {
-    /// From the call path, see [`handle::pair`].
-    pub ends: handle::Ends,
-    /// From the reports duty: what was counted. Full: it stays there and comes with the next.
+    /// Claims and releases of the call path, see [`handle::pair`].
+    pub receivers: handle::Receivers,
+    /// Usage counted by the call path, passed on by the admin duty. When the ring is full, counts
+    /// stay with the sender and are part of the next delta.
     pub deltas: ring::Receiver<usage::Delta>,
     /// The known hosts.
     pub view: watch::Receiver<Arc<view::View>>,
-    /// Configuration that this node runs, which tells the epoch of the log.
+    /// Configuration that this node runs; its version shows the epoch of the log.
     pub applied: watch::Receiver<Arc<mesh::Applied>>,
     /// The platform's log.
     pub log: L,
     /// Registry of metrics.
     pub metrics: metrics::Metrics,
-    /// Stage of the process; the duty ends after [`node::Stage::End`], when usage is in the log.
+    /// Stage of the process. After [`node::Stage::End`] the duty ends as soon as usage is in the
+    /// log.
     pub stage: watch::Receiver<node::Stage>,
     /// Counters of control traffic.
     pub traffic: Arc<traffic::Traffic>,
 }
 
-/// What happens to the duty.
+/// An input of the duty's loop.
 #[derive(Debug)]
 pub enum Input {
-    /// An append of claims has ended.
+    /// An append of claims has finished.
     Appended {
-        /// Partition and life of its writer.
-        place: (u16, u64),
-        /// Which append.
-        ticket: Ticket,
-        /// How it ended.
-        end: End,
+        /// Partition and generation of its writer.
+        writer: (u16, u64),
+        /// The append.
+        id: AppendId,
+        /// Its outcome.
+        outcome: AppendOutcome,
     },
-    /// A node sent a frame.
-    Asked {
+    /// Another node sent a frame to the writers here.
+    Request {
         /// Number of its connection.
         number: u64,
         /// The frame.
-        ask: wire::Ask,
+        request: wire::Request,
     },
     /// This node's connection to a host has ended.
-    Ended {
+    Disconnected {
         /// The host.
         host: crate::host::HostId,
-        /// Which connection.
-        life: u64,
+        /// Generation of the connection.
+        generation: u64,
     },
     /// A node has connected.
-    Joined {
+    PeerConnected {
         /// Number of the connection.
         number: u64,
-        /// Takes frames to it.
+        /// Queue of frames to it.
         frames: mpsc::Sender<bytes::Bytes>,
     },
     /// A node's connection has ended.
-    Left {
+    PeerDisconnected {
         /// Number of the connection.
         number: u64,
     },
-    /// A read of claims has ended.
+    /// A read of claims has finished.
     Read {
-        /// Partition and life of its writer.
-        place: (u16, u64),
-        /// What it gave; `None` when it failed.
+        /// Partition and generation of its writer.
+        writer: (u16, u64),
+        /// The batch; `None` when the read failed.
         batch: Option<logs::Batch>,
     },
-    /// A writer answered this node.
-    Told {
+    /// A writer on another host answered this node.
+    Response {
         /// The frame.
-        tell: wire::Tell,
+        response: wire::Response,
     },
-    /// An append of usage has ended.
+    /// An append of usage has finished.
     UsageAppended {
         /// Whether it succeeded.
         success: bool,
     },
 }
 
-/// Why the ledger can't run.
+/// Why the ledger duty can't run.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The address can't be listened on.
+    /// Listening on the address failed.
     #[error("can't listen on {address} for claims")]
     Bind {
         /// The address.
         address: std::net::SocketAddr,
-        /// The operating system's answer.
+        /// The operating system's error.
         source: std::io::Error,
     },
 }
 
-/// Runs the duty until the stage is [`node::Stage::End`] and what was counted is in the log; spawns
-/// local tasks, so that it needs a `tokio::task::LocalSet` such as [`node::duty::Duty`] gives.
+/// Runs the duty until the stage is [`node::Stage::End`] and all counted usage is in the log, or
+/// the flush time has passed. It spawns local tasks and must run in a `tokio::task::LocalSet`, as
+/// [`node::duty::Duty`] provides.
 ///
 /// # Errors
 ///
-/// Fails when the port can't be listened on.
+/// Listening on the port failed.
 pub async fn run<L: logs::Service>(
     ctx: context::Context,
     settings: Arc<configs::Node>,
@@ -136,7 +139,7 @@
     let address = settings.bound().ledger_addr();
     let bound = TcpListener::bind(address).await;
     let listener = bound.map_err(|source| Error::Bind { address, source })?;
-    let (inputs, arriving) = mpsc::channel(INPUTS);
+    let (inputs, arriving) = mpsc::channel(INPUT_CAPACITY);
     let shared = serve::Shared {
         host: settings.host(),
         seal: seal::Seal::new(&settings.mesh, &settings.key),
@@ -147,22 +150,22 @@
     let acceptor = task::spawn_local(serve::accept(listener, shared.clone()));
     let metrics = ledger::Metrics::new(&wiring.metrics);
     let state = ledger::Ledger::new(ctx, &settings, wiring.log, shared, metrics);
-    let ends = Ends {
-        claims: wiring.ends.claims,
-        releases: wiring.ends.releases,
+    let channels = Channels {
+        claims: wiring.receivers.claims,
+        releases: wiring.receivers.releases,
         deltas: wiring.deltas,
         arriving,
         view: wiring.view,
         applied: wiring.applied,
         stage: wiring.stage,
     };
-    serve_all(ctx, state, ends, flush).await;
+    run_loop(ctx, state, channels, flush).await;
     acceptor.abort();
     Ok(())
 }
 
-/// What the loop listens to.
-struct Ends {
+/// Channels that the loop receives from.
+struct Channels {
     claims: ring::Receiver<handle::Claim>,
     releases: ring::Receiver<crate::claim::record::Entry>,
     deltas: ring::Receiver<usage::Delta>,
@@ -172,50 +175,50 @@
     stage: watch::Receiver<node::Stage>,
 }
 
-async fn serve_all<L: logs::Service>(
+async fn run_loop<L: logs::Service>(
     ctx: context::Context,
     mut state: ledger::Ledger<L>,
-    mut ends: Ends,
+    mut channels: Channels,
     flush: time::Duration,
 ) {
     let mut claims = Vec::new();
     let mut releases = Vec::new();
     let mut inputs = Vec::new();
-    let mut end: Option<clock::Instant> = None;
-    let mut epoch = ends.applied.borrow().version_id.version.epoch();
-    ends.view.mark_changed();
+    let mut flush_by: Option<clock::Instant> = None;
+    let mut epoch = channels.applied.borrow().version_id.version.epoch();
+    channels.view.mark_changed();
     loop {
-        let wake = state.wake().since(ctx.now()).min(REST);
+        let wake = state.wake().since(ctx.now()).min(MAX_PAUSE);
         tokio::select! {
-            1.. = ends.claims.recv_many(&mut claims, BURST) => {}
-            1.. = ends.releases.recv_many(&mut releases, BURST) => {}
-            1.. = ends.arriving.recv_many(&mut inputs, BURST) => {}
-            Some(delta) = ends.deltas.recv() => state.count(&delta),
-            Ok(()) = ends.view.changed() => ends.view.mark_changed(),
-            Ok(()) = ends.applied.changed() => ends.applied.mark_changed(),
-            _ = ends.stage.wait_for(|&s| s == node::Stage::End), if end.is_none() => {
-                end = Some(ctx.now() + flush);
+            1.. = channels.claims.recv_many(&mut claims, BURST) => {}
+            1.. = channels.releases.recv_many(&mut releases, BURST) => {}
+            1.. = channels.arriving.recv_many(&mut inputs, BURST) => {}
+            Some(delta) = channels.deltas.recv() => state.count(&delta),
+            Ok(()) = channels.view.changed() => channels.view.mark_changed(),
+            Ok(()) = channels.applied.changed() => channels.applied.mark_changed(),
+            _ = channels.stage.wait_for(|&s| s == node::Stage::End), if flush_by.is_none() => {
+                flush_by = Some(ctx.now() + flush);
             }
             () = tokio::time::sleep(wake) => {}
         }
         let now = ctx.now();
-        // The hosts are needed before the claims that may have come at the same moment.
-        if ends.view.has_changed().unwrap_or(false) {
-            let view = Arc::clone(&ends.view.borrow_and_update());
+        // The view is applied first, since claims that arrived at the same time need its hosts.
+        if channels.view.has_changed().unwrap_or(false) {
+            let view = Arc::clone(&channels.view.borrow_and_update());
             state.update(view, now);
         }
-        if ends.applied.has_changed().unwrap_or(false) {
-            let now_in = ends.applied.borrow_and_update().version_id.version.epoch();
-            if now_in > std::mem::replace(&mut epoch, now_in) {
+        if channels.applied.has_changed().unwrap_or(false) {
+            let current = channels.applied.borrow_and_update().version_id.version.epoch();
+            if current > std::mem::replace(&mut epoch, current) {
                 state.restored(now);
             }
         }
         claims.drain(..).for_each(|claim| state.claim(claim, now));
         releases.drain(..).for_each(|entry| state.release(entry, now));
-        inputs.drain(..).for_each(|input| state.take(input, now));
-        let last = end.is_some() && ends.deltas.is_closed() && ends.deltas.is_empty();
-        state.turn(now, end.is_some());
-        if end.is_some_and(|end| now >= end || (last && state.flushed())) {
+        inputs.drain(..).for_each(|input| state.handle(input, now));
+        let last = flush_by.is_some() && channels.deltas.is_closed() && channels.deltas.is_empty();
+        state.poll(now, flush_by.is_some());
+        if flush_by.is_some_and(|flush_by| now >= flush_by || (last && state.flushed())) {
             return;
         }
     }
--- a/src/claim/tests.rs
+++ b/src/claim/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of claims.
+//! Tests of claims, and helpers that make keys, attempts and entries.
 
 mod fold;
 mod follow;
--- a/src/claim/tests/fold.rs
+++ b/src/claim/tests/fold.rs
@@ -1,4 +1,4 @@
-//! Tests of who holds a key.
+//! Tests of the holders that a replay of the log gives.
 
 use std::time;
 
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_claim_holds_for_exactly_one_window() {
+fn a_claim_is_held_for_exactly_one_window() {
     let mut fold = Fold::new(WINDOW);
     claim(&mut fold, 7_000, 1);
     assert_eq!(claim(&mut fold, 66_999, 2), Some(Verdict::Taken(attempt(1, 1))));
@@ -60,13 +60,13 @@
 #[test]
 fn memory_is_bounded_by_the_window() {
     let mut fold = Fold::new(WINDOW);
-    let mut most = 0;
+    let mut max = 0;
     for n in 0..300_000u64 {
         let mut bytes = [0; 16];
         bytes[..8].copy_from_slice(&n.to_le_bytes());
         let key = crate::claim::Key(bytes);
         fold.apply(n, &Entry { key, attempt: attempt(1, n), op: Op::Claim });
-        most = most.max(fold.len());
+        max = max.max(fold.len());
     }
-    assert!((60_000..=75_001).contains(&most), "{most} keys held at a claim a millisecond");
+    assert!((60_000..=75_001).contains(&max), "{max} keys held at a claim a millisecond");
 }
--- a/src/claim/tests/follow.rs
+++ b/src/claim/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Tests of finding where to begin.
+//! Tests of finding the offset from which a stream is replayed.
 
 use std::time;
 
@@ -9,7 +9,7 @@
 use crate::claim::follow::{Follower, Read, Step};
 use crate::logs;
 
-/// A log with records at `times`, of which those before `first` have expired.
+/// A log with a record at each of `times`; those at offsets before `first` have expired.
 struct Log {
     first: u64,
     times: Vec<u64>,
@@ -19,7 +19,7 @@
     fn read(&self, read: Read) -> logs::Batch {
         let next = self.times.len() as u64;
         let from = read.from.max(self.first);
-        let offsets = from..next.min(from.saturating_add(u64::from(read.most)));
+        let offsets = from..next.min(from.saturating_add(u64::from(read.max)));
         let record = |offset: u64| logs::Record {
             offset,
             unix_millis: self.times[offset as usize],
@@ -29,15 +29,15 @@
     }
 }
 
-/// Reads until the follower is current; the offsets taken and the reads made.
+/// Reads until the follower is current; returns the offsets applied and the number of reads.
 fn run(follower: &mut Follower, log: &Log) -> (Vec<u64>, usize) {
     let mut taken = Vec::new();
     for reads in 1..2000 {
         let batch = log.read(follower.read());
-        match follower.take(&batch) {
-            Step::Take => taken.extend(batch.records.iter().map(|r| r.offset)),
-            Step::Look => {}
-            Step::Back => panic!("the epoch stays"),
+        match follower.advance(&batch) {
+            Step::Apply => taken.extend(batch.records.iter().map(|r| r.offset)),
+            Step::Seek => {}
+            Step::Restored => panic!("the epoch does not change"),
             Step::Gap => taken.clear(),
         }
         if follower.current() {
@@ -51,7 +51,7 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn a_window_is_read_whole_and_little_more(
+    fn all_records_of_the_window_and_few_older_ones_are_read(
         steps in collection::vec(0u64..300, 0..400),
         expired in 0usize..100,
     ) {
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn bisection_takes_few_reads() {
+fn the_binary_search_takes_few_reads() {
     let log = Log { first: 0, times: (0..1_000_000).collect() };
     let mut follower = Follower::new(time::Duration::from_millis(100));
     let (taken, reads) = run(&mut follower, &log);
@@ -78,13 +78,13 @@
 }
 
 #[test]
-fn records_that_expired_unread_void_what_was_folded() {
+fn records_that_expired_unread_discard_the_replayed_state() {
     let mut log = Log { first: 0, times: (0..10).collect() };
     let mut follower = Follower::new(time::Duration::from_secs(60));
     run(&mut follower, &log);
     log.times.extend(10..200);
     log.first = 100;
-    assert_eq!(follower.take(&log.read(follower.read())), Step::Gap);
+    assert_eq!(follower.advance(&log.read(follower.read())), Step::Gap);
     assert!(!follower.current());
     assert_eq!(run(&mut follower, &log).0.len(), 100);
 }
--- a/src/claim/tests/record.rs
+++ b/src/claim/tests/record.rs
@@ -1,4 +1,4 @@
-//! Tests of the form of records.
+//! Tests of the encoding of records.
 
 use proptest::collection;
 use proptest::prelude::*;
@@ -20,12 +20,12 @@
     #![proptest_config(ProptestConfig::with_cases(500))]
 
     #[test]
-    fn what_is_written_is_read(entries in entries()) {
+    fn decoding_gives_the_encoded_entries(entries in entries()) {
         prop_assert_eq!(decode(&encode(&entries)), Ok(entries));
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in collection::vec(any::<u8>(), 0..300)) {
+    fn any_bytes_decode_or_are_refused(bytes in collection::vec(any::<u8>(), 0..300)) {
         let _ = decode(&bytes);
         let mut formatted = vec![1];
         formatted.extend(bytes);
@@ -33,15 +33,15 @@
     }
 
     #[test]
-    fn a_cut_record_claims_nothing(entries in entries(), cut in any::<prop::sample::Index>()) {
-        let whole = encode(&entries);
-        let cut = cut.index(whole.len());
-        prop_assert!(decode(&whole[..cut]).is_err());
+    fn a_truncated_record_is_refused(entries in entries(), cut in any::<prop::sample::Index>()) {
+        let complete = encode(&entries);
+        let cut = cut.index(complete.len());
+        prop_assert!(decode(&complete[..cut]).is_err());
     }
 }
 
 #[test]
-fn another_format_is_told_from_a_malformed_record() {
+fn another_format_is_distinguished_from_a_malformed_record() {
     assert_eq!(decode(&[2, 0, 0]), Err(Error::Format));
     assert_eq!(decode(&[]), Err(Error::Malformed));
 }
--- a/src/claim/tests/shell.rs
+++ b/src/claim/tests/shell.rs
@@ -1,4 +1,4 @@
-//! The ledger's duty against the stand-in of the log, on loopback.
+//! Tests of the ledger duty against the stand-in of the log, on loopback.
 
 use std::net;
 use std::sync::Arc;
@@ -23,9 +23,10 @@
 use crate::usage;
 use crate::view;
 
-const LIMIT: time::Duration = time::Duration::from_secs(20);
+/// How long a duty may take to end.
+const STOP_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
-/// A few nodes' ledgers beside one log, on one thread.
+/// The ledger duties of a few nodes and one log, on one thread.
 struct World {
     log: standin::Server,
     client: logs::http::Client,
@@ -67,7 +68,7 @@
             .collect();
         let world = Self { log, client, nodes };
         let hosts: Vec<_> = world.nodes.iter().map(|n| n.host).collect();
-        world.nodes.iter().for_each(|n| n.see(&hosts));
+        world.nodes.iter().for_each(|n| n.update_view(&hosts));
         world
     }
 
@@ -79,11 +80,11 @@
 }
 
 impl Node {
-    fn see(&self, hosts: &[host::HostId]) {
-        let place = Arc::new(view::Locality { region: "region".into(), zone: "zone".into() });
+    fn update_view(&self, hosts: &[host::HostId]) {
+        let locality = Arc::new(view::Locality { region: "region".into(), zone: "zone".into() });
         let host = |&id: &host::HostId| view::Host {
             id,
-            locality: Arc::clone(&place),
+            locality: Arc::clone(&locality),
             incarnation: 1,
             health: view::Health::Alive,
             upstream: None,
@@ -114,26 +115,26 @@
 fn start(settings: configs::Node, log: logs::http::Client) -> Node {
     let ctx = context::Context::system();
     let host = settings.host();
-    let (claims, ends) = handle::pair();
-    let (deltas, deltas_end) = ring::bounded(16);
-    let (view, view_end) = watch::channel(Arc::default());
-    let (stage, stage_end) = watch::channel(node::Stage::Run);
+    let (claims, receivers) = handle::pair();
+    let (deltas, deltas_receiver) = ring::bounded(16);
+    let (view, view_receiver) = watch::channel(Arc::default());
+    let (stage, stage_receiver) = watch::channel(node::Stage::Run);
     let (_, applied) = watch::channel(Arc::default());
     let wiring = shell::Wiring {
-        ends,
-        deltas: deltas_end,
-        view: view_end,
+        receivers,
+        deltas: deltas_receiver,
+        view: view_receiver,
         applied,
         log,
         metrics: metrics::Metrics::new(),
-        stage: stage_end,
+        stage: stage_receiver,
         traffic: Arc::new(traffic::Traffic::default()),
     };
     let task = task::spawn_local(shell::run(ctx, Arc::new(settings), wiring));
     Node { ctx, host, claims, deltas, stage, view, task }
 }
 
-async fn locally(test: impl std::future::Future<Output = ()>) {
+async fn run_local(test: impl std::future::Future<Output = ()>) {
     task::LocalSet::new().run_until(test).await;
 }
 
@@ -143,7 +144,7 @@
 
 #[tokio::test]
 async fn one_of_many_entries_wins_each_key() {
-    locally(async {
+    run_local(async {
         let world = World::new(1, 3).await;
         let (first, second, third) = (&world.nodes[0], &world.nodes[1], &world.nodes[2]);
         for n in 0..40 {
@@ -160,7 +161,7 @@
 
 #[tokio::test]
 async fn a_release_lets_the_next_call_win() {
-    locally(async {
+    run_local(async {
         let world = World::new(2, 2).await;
         let (one, two) = (&world.nodes[0], &world.nodes[1]);
         assert_eq!(one.claim(key(1), 1).await, Ok(Verdict::First));
@@ -172,14 +173,14 @@
             }
             tokio::time::sleep(time::Duration::from_millis(10)).await;
         }
-        panic!("the key is never free");
+        panic!("the key was never released");
     })
     .await;
 }
 
 #[tokio::test]
-async fn lost_answers_of_the_log_make_no_second_first() {
-    locally(async {
+async fn lost_answers_of_the_log_never_let_two_claims_win() {
+    run_local(async {
         let world = World::new(3, 2).await;
         world.faults(|f| f.lose_share = 0.5);
         for n in 0..20 {
@@ -200,11 +201,11 @@
 #[case::closed(8, faults::Outage::Close)]
 #[case::silent(9, faults::Outage::Hang)]
 #[tokio::test]
-async fn an_outage_is_told_at_once_and_leaves_no_key_taken(
+async fn an_outage_is_reported_at_once_and_leaves_no_key_taken(
     #[case] number: u8,
     #[case] outage: faults::Outage,
 ) {
-    locally(async {
+    run_local(async {
         let world = World::new(number, 2).await;
         let node = &world.nodes[0];
         assert_eq!(node.claim(key(1), 1).await, Ok(Verdict::First));
@@ -212,20 +213,20 @@
         let mut unavailable = 0;
         for n in 0..200 {
             let verdict = node.claim(numbered(n), 100 + n).await;
-            let told = matches!(verdict, Err(claim::Error::Unavailable { .. }));
-            unavailable += u32::from(told);
+            let reported = matches!(verdict, Err(claim::Error::Unavailable { .. }));
+            unavailable += u32::from(reported);
             assert!(verdict != Ok(Verdict::First));
         }
         assert!(unavailable > 150, "{unavailable} of 200");
         world.faults(|_| {});
         for n in 0..200 {
             let mut verdict = node.claim(numbered(n), 1000 + n).await;
-            for again in 0..200 {
+            for retry in 0..200 {
                 if verdict == Ok(Verdict::First) {
                     break;
                 }
                 tokio::time::sleep(time::Duration::from_millis(50)).await;
-                verdict = node.claim(numbered(n), 2000 + n * 200 + again).await;
+                verdict = node.claim(numbered(n), 2000 + n * 200 + retry).await;
             }
             assert_eq!(verdict, Ok(Verdict::First), "key {n}");
         }
@@ -235,21 +236,25 @@
 
 #[tokio::test]
 async fn a_writer_that_takes_over_knows_the_keys() {
-    locally(async {
+    run_local(async {
         let mut world = World::new(5, 2).await;
         for n in 0..20 {
             assert_eq!(world.nodes[0].claim(numbered(n), n).await, Ok(Verdict::First));
         }
-        let gone = world.nodes.remove(1);
-        gone.task.abort();
-        let alone = &world.nodes[0];
+        let stopped = world.nodes.remove(1);
+        stopped.task.abort();
+        let remaining = &world.nodes[0];
         for n in 0..20 {
-            let taken = Ok(Verdict::Taken(alone.attempt(n)));
-            assert_eq!(alone.claim(numbered(n), 100 + n).await, taken, "while still in the view");
+            let taken = Ok(Verdict::Taken(remaining.attempt(n)));
+            assert_eq!(
+                remaining.claim(numbered(n), 100 + n).await,
+                taken,
+                "while still in the view"
+            );
         }
-        alone.see(&[alone.host]);
+        remaining.update_view(&[remaining.host]);
         for n in 20..40 {
-            assert_eq!(alone.claim(numbered(n), n).await, Ok(Verdict::First));
+            assert_eq!(remaining.claim(numbered(n), n).await, Ok(Verdict::First));
         }
     })
     .await;
@@ -257,7 +262,7 @@
 
 #[tokio::test]
 async fn a_deadline_ends_the_wait() {
-    locally(async {
+    run_local(async {
         let world = World::new(6, 1).await;
         world.faults(|f| f.delay_ms = 400);
         let limit = time::Duration::from_millis(50);
@@ -269,7 +274,7 @@
 
 #[tokio::test]
 async fn usage_counts_once_though_answers_are_lost() {
-    locally(async {
+    run_local(async {
         let mut world = World::new(7, 3).await;
         world.faults(|f| f.lose_share = 0.4);
         let label = usage::Label {
@@ -291,7 +296,7 @@
         for node in world.nodes.drain(..) {
             drop(node.deltas);
             node.stage.send_replace(node::Stage::End);
-            let ended = tokio::time::timeout(LIMIT, node.task).await;
+            let ended = tokio::time::timeout(STOP_TIMEOUT, node.task).await;
             ended.expect("in time").expect("no panic").expect("no error");
         }
         let read = world.client.read(logs::streams::USAGE, 0, 10_000, time::Duration::ZERO);
--- a/src/claim/tests/sim.rs
+++ b/src/claim/tests/sim.rs
@@ -1,4 +1,4 @@
-//! Writers, entries and a log in virtual time, with every fault the log and the hosts can have.
+//! Simulates writers, entry nodes and a log in virtual time, with faults of the log and of hosts.
 
 use std::collections;
 use std::time;
@@ -9,7 +9,7 @@
 
 use super::{attempt, key};
 use crate::claim::Verdict;
-use crate::claim::event::{Action, Answer, End, Event, Limits, Ticket, Token};
+use crate::claim::event::{Action, Answer, AppendId, AppendOutcome, Event, Limits, Token};
 use crate::claim::follow::Read;
 use crate::claim::record::{Entry, Op};
 use crate::claim::writer::Writer;
@@ -18,35 +18,35 @@
 
 const WRITERS: usize = 3;
 const KEYS: u8 = 3;
-/// How long an entry waits for an answer, in milliseconds.
-const PATIENCE: u64 = 400;
+/// How long an entry node waits for an answer.
+const ANSWER_TIMEOUT_MS: u64 = 400;
 
-/// Chances of faults, in percent.
+/// Probabilities of faults, in percent.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
-    /// Of an append whose answer is lost.
+    /// An append succeeds and its answer is lost.
     pub lost: u32,
-    /// Of an append that does not happen.
+    /// An append is refused.
     pub refused: u32,
-    /// Of an append that lands long after its answer was given up.
+    /// An append reaches the log long after its answer counts as lost.
     pub late: u32,
-    /// Of a read that fails.
-    pub unread: u32,
-    /// Of a writer to be paused, each 50 ms.
+    /// A read fails.
+    pub read_failed: u32,
+    /// A writer is paused, drawn every 50 ms.
     pub pause: u32,
-    /// Of a writer to be replaced by one without memory, each 50 ms.
+    /// A writer is restarted with empty memory, drawn every 50 ms.
     pub restart: u32,
 }
 
-/// How far a call is.
+/// Progress of a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum State {
     Asking,
-    /// Told that it is first; may run.
+    /// Answered that its claim is the first; it may run.
     Granted,
-    /// Told that another is.
+    /// Answered that another attempt holds the key.
     Taken,
-    /// Gives its claim up and repeats it until that is confirmed.
+    /// Releases its claim, repeatedly until that is confirmed.
     Releasing,
     Released,
 }
@@ -55,32 +55,32 @@
 struct Call {
     claim: Entry,
     state: State,
-    /// Whether its entry means to release after the verdict.
-    gives: bool,
-    /// How many writers its entry asked.
+    /// Whether its entry node releases the key some time after the grant.
+    releases: bool,
+    /// Number of writers that its entry node asked.
     asked: usize,
 }
 
 #[derive(Debug)]
 struct Host {
     writer: Writer,
-    life: u32,
+    generation: u32,
     awake: u64,
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Begin,
-    Weather,
-    Ask { host: usize, call: usize, op: Op },
-    Land(Bytes),
-    Deliver { host: usize, life: u32, event: Event },
-    Reading { host: usize, life: u32, read: Read, until: u64 },
-    GiveUp(usize),
+    Disturb,
+    Request { host: usize, call: usize, op: Op },
+    Appended(Bytes),
+    Deliver { host: usize, generation: u32, event: Event },
+    Reading { host: usize, generation: u32, read: Read, until: u64 },
+    TimeOut(usize),
     Release(usize),
 }
 
-/// The whole.
+/// The simulation.
 pub struct Sim {
     rng: StdRng,
     faults: Faults,
@@ -91,11 +91,11 @@
     hosts: Vec<Host>,
     calls: Vec<Call>,
     asked: Vec<(usize, Op)>,
-    /// Grants beside another that had not been given up: must stay empty.
-    pub doubled: Vec<(Entry, Entry)>,
+    /// Pairs of claims on one key that were granted at the same time; must stay empty.
+    pub concurrent: Vec<(Entry, Entry)>,
 }
 
-fn fresh() -> Writer {
+fn new_writer() -> Writer {
     Writer::new(Limits {
         append_interval: time::Duration::from_millis(5),
         window: time::Duration::from_secs(3600),
@@ -105,9 +105,9 @@
 }
 
 impl Sim {
-    /// A world made from `seed`.
+    /// A simulation whose random choices follow from `seed`.
     pub fn new(seed: u64, faults: Faults) -> Self {
-        let host = || Host { writer: fresh(), life: 0, awake: 0 };
+        let host = || Host { writer: new_writer(), generation: 0, awake: 0 };
         Self {
             rng: StdRng::seed_from_u64(seed),
             faults,
@@ -118,31 +118,31 @@
             hosts: (0..WRITERS).map(|_| host()).collect(),
             calls: Vec::new(),
             asked: Vec::new(),
-            doubled: Vec::new(),
+            concurrent: Vec::new(),
         }
     }
 
-    /// Lets `calls` calls begin over time and runs until all is quiet.
+    /// Starts `calls` calls over time and runs until some seconds after the last one.
     pub fn run(&mut self, calls: u64) {
         for n in 0..calls {
             self.after(n * 7, Step::Begin);
         }
         for n in 0..calls * 7 / 50 {
-            self.after(n * 50, Step::Weather);
+            self.after(n * 50, Step::Disturb);
         }
-        self.settle(calls * 7 + 4000);
+        self.advance(calls * 7 + 4000);
     }
 
-    /// Ends all faults, asks for every key once more and tells what is wrong with the verdicts.
+    /// Ends all faults, claims every key once more and returns the verdicts that are wrong.
     pub fn check(&mut self) -> Vec<String> {
-        self.faults = Faults { lost: 0, refused: 0, late: 0, unread: 0, pause: 0, restart: 0 };
-        self.settle(30_000);
+        self.faults = Faults { lost: 0, refused: 0, late: 0, read_failed: 0, pause: 0, restart: 0 };
+        self.advance(30_000);
         let mut wrong = Vec::new();
         for n in 0..KEYS {
             let held = |c: &&Call| c.state == State::Granted && c.claim.key == key(n);
             let holder = self.calls.iter().find(held).copied();
             let last = self.begin(n, false);
-            self.settle(2000);
+            self.advance(2000);
             let state = self.calls[last].state;
             if (state == State::Granted) == holder.is_some() {
                 wrong.push(format!("key {n}: {state:?} beside {holder:?}"));
@@ -151,12 +151,12 @@
         wrong
     }
 
-    /// Calls that were told to be first and did not give up.
+    /// Number of calls whose claim is granted and not released.
     pub fn granted(&self) -> usize {
         self.calls.iter().filter(|c| c.state == State::Granted).count()
     }
 
-    fn settle(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         let end = self.now + millis;
         while let Some(first) = self.steps.first_entry().filter(|s| s.key().0 <= end) {
             let ((at, _), step) = first.remove_entry();
@@ -178,25 +178,27 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Begin => {
-                let (n, gives) = (self.rng.random_range(0..KEYS), self.chance(30));
-                self.begin(n, gives);
+                let (n, releases) = (self.rng.random_range(0..KEYS), self.chance(30));
+                self.begin(n, releases);
             }
-            Step::Weather => self.weather(),
-            Step::Ask { host, call, op } => {
+            Step::Disturb => self.disturb(),
+            Step::Request { host, call, op } => {
                 let entry = Entry { op, ..self.calls[call].claim };
                 let token = Token(self.asked.len() as u64);
                 self.asked.push((call, op));
-                let deadline = clock::Instant::from_millis(self.now + PATIENCE);
-                let life = self.hosts[host].life;
-                self.deliver(host, life, Event::Ask { token, entry, deadline });
+                let deadline = clock::Instant::from_millis(self.now + ANSWER_TIMEOUT_MS);
+                let generation = self.hosts[host].generation;
+                self.deliver(host, generation, Event::Request { token, entry, deadline });
             }
-            Step::Land(body) => {
+            Step::Appended(body) => {
                 let offset = self.log.len() as u64;
                 self.log.push(logs::Record { offset, unix_millis: self.now, body });
             }
-            Step::Deliver { host, life, event } => self.deliver(host, life, event),
-            Step::Reading { host, life, read, until } => self.reading(host, life, read, until),
-            Step::GiveUp(call) => {
+            Step::Deliver { host, generation, event } => self.deliver(host, generation, event),
+            Step::Reading { host, generation, read, until } => {
+                self.reading(host, generation, read, until)
+            }
+            Step::TimeOut(call) => {
                 if self.calls[call].state == State::Asking {
                     self.release(call);
                 }
@@ -205,17 +207,18 @@
         }
     }
 
-    fn begin(&mut self, n: u8, gives: bool) -> usize {
+    fn begin(&mut self, n: u8, releases: bool) -> usize {
         let call = self.calls.len();
         let claim = Entry { key: key(n), attempt: attempt(9, call as u64), op: Op::Claim };
-        self.calls.push(Call { claim, state: State::Asking, gives, asked: 0 });
-        // Two entries whose views differ ask two writers, and one that hears nothing asks another.
+        self.calls.push(Call { claim, state: State::Asking, releases, asked: 0 });
+        // An entry node asks a second writer when its view changes or when the first one does not
+        // answer.
         for _ in 0..self.rng.random_range(1..3) {
             self.calls[call].asked += 1;
             let (host, wait) = (self.rng.random_range(0..WRITERS), self.rng.random_range(0..60));
-            self.after(wait, Step::Ask { host, call, op: Op::Claim });
+            self.after(wait, Step::Request { host, call, op: Op::Claim });
         }
-        self.after(PATIENCE, Step::GiveUp(call));
+        self.after(ANSWER_TIMEOUT_MS, Step::TimeOut(call));
         call
     }
 
@@ -225,78 +228,79 @@
         }
         self.calls[call].state = State::Releasing;
         let (host, wait) = (self.rng.random_range(0..WRITERS), self.rng.random_range(0..20));
-        self.after(wait, Step::Ask { host, call, op: Op::Release });
-        self.after(PATIENCE, Step::Release(call));
+        self.after(wait, Step::Request { host, call, op: Op::Release });
+        self.after(ANSWER_TIMEOUT_MS, Step::Release(call));
     }
 
-    fn weather(&mut self) {
+    fn disturb(&mut self) {
         let host = self.rng.random_range(0..WRITERS);
         if self.chance(self.faults.pause) {
             self.hosts[host].awake = self.now + self.rng.random_range(10..1500);
         }
         if self.chance(self.faults.restart) {
             let host = &mut self.hosts[host];
-            host.writer = fresh();
-            host.life += 1;
+            host.writer = new_writer();
+            host.generation += 1;
         }
     }
 
-    /// Gives `event` to the writer of `host`, once it is awake and if it still lives that life.
-    fn deliver(&mut self, host: usize, life: u32, event: Event) {
+    /// Passes `event` to the writer of `host` once it is awake, unless it was restarted since.
+    fn deliver(&mut self, host: usize, generation: u32, event: Event) {
         let late = self.hosts[host].awake.saturating_sub(self.now);
-        if self.hosts[host].life != life {
+        if self.hosts[host].generation != generation {
             return;
         }
         if late > 0 {
-            return self.after(late, Step::Deliver { host, life, event });
+            return self.after(late, Step::Deliver { host, generation, event });
         }
         let now = clock::Instant::from_millis(self.now);
         for action in self.hosts[host].writer.handle(event, now) {
             match action {
                 Action::Answer(token, answer) => self.answered(token, answer),
-                Action::Append(ticket, body) => self.appending(host, ticket, body),
+                Action::Append(id, body) => self.appending(host, id, body),
                 Action::Read(read) => {
                     let (wait, until) = (self.rng.random_range(1..5), self.now + 100);
-                    self.after(wait, Step::Reading { host, life, read, until });
+                    self.after(wait, Step::Reading { host, generation, read, until });
                 }
             }
         }
         if let Some(wake) = self.hosts[host].writer.wake() {
             let wait = (wake.as_micros() / 1000).saturating_sub(self.now).max(1);
-            self.after(wait, Step::Deliver { host, life, event: Event::Tick });
+            self.after(wait, Step::Deliver { host, generation, event: Event::Tick });
         }
     }
 
-    fn appending(&mut self, host: usize, ticket: Ticket, body: Bytes) {
-        let life = self.hosts[host].life;
-        let ended = |end| Step::Deliver { host, life, event: Event::Appended { ticket, end } };
-        let land = self.rng.random_range(1..20);
-        let answer = land + self.rng.random_range(1..10);
+    fn appending(&mut self, host: usize, id: AppendId, body: Bytes) {
+        let generation = self.hosts[host].generation;
+        let ended =
+            |outcome| Step::Deliver { host, generation, event: Event::Appended { id, outcome } };
+        let append = self.rng.random_range(1..20);
+        let answer = append + self.rng.random_range(1..10);
         if self.chance(self.faults.refused) {
-            self.after(answer, ended(End::Refused));
+            self.after(answer, ended(AppendOutcome::NotAppended));
         } else if self.chance(self.faults.late) {
-            let land = land + self.rng.random_range(1..3000);
-            self.after(land, Step::Land(body));
-            self.after(answer, ended(End::Unknown));
+            let append = append + self.rng.random_range(1..3000);
+            self.after(append, Step::Appended(body));
+            self.after(answer, ended(AppendOutcome::Unknown));
         } else {
             let lost = self.chance(self.faults.lost);
-            self.after(land, Step::Land(body));
-            let end = if lost { End::Unknown } else { End::Done };
-            self.after(answer, ended(end));
+            self.after(append, Step::Appended(body));
+            let outcome = if lost { AppendOutcome::Unknown } else { AppendOutcome::Appended };
+            self.after(answer, ended(outcome));
         }
     }
 
-    fn reading(&mut self, host: usize, life: u32, read: Read, until: u64) {
-        if self.chance(self.faults.unread) {
-            return self.deliver(host, life, Event::Read(None));
+    fn reading(&mut self, host: usize, generation: u32, read: Read, until: u64) {
+        if self.chance(self.faults.read_failed) {
+            return self.deliver(host, generation, Event::Read(None));
         }
         let from = usize::try_from(read.from).unwrap_or(usize::MAX).min(self.log.len());
-        let records: Vec<_> = self.log[from..].iter().take(read.most as usize).cloned().collect();
+        let records: Vec<_> = self.log[from..].iter().take(read.max as usize).cloned().collect();
         if records.is_empty() && read.wait && self.now < until {
-            return self.after(2, Step::Reading { host, life, read, until });
+            return self.after(2, Step::Reading { host, generation, read, until });
         }
         let batch = logs::Batch { epoch: 0, first: 0, next: self.log.len() as u64, records };
-        self.deliver(host, life, Event::Read(Some(batch)));
+        self.deliver(host, generation, Event::Read(Some(batch)));
     }
 
     fn answered(&mut self, token: Token, answer: Answer) {
@@ -306,7 +310,7 @@
             (Op::Claim, Answer::Claimed(Verdict::First), State::Asking) => self.grant(call),
             (Op::Claim, Answer::Claimed(Verdict::Taken(_)), State::Asking) => {
                 self.calls[call].state = State::Taken;
-                // The other writer may not have written the claim yet.
+                // Another writer that was asked may still write the claim.
                 if self.calls[call].asked > 1 {
                     self.release(call);
                 }
@@ -322,9 +326,9 @@
         let mine = self.calls[call];
         let beside = |c: &&Call| c.state == State::Granted && c.claim.key == mine.claim.key;
         let beside = self.calls.iter().find(beside).map(|c| (c.claim, mine.claim));
-        self.doubled.extend(beside);
+        self.concurrent.extend(beside);
         self.calls[call].state = State::Granted;
-        if mine.gives {
+        if mine.releases {
             let wait = self.rng.random_range(1..300);
             self.after(wait, Step::Release(call));
         }
--- a/src/claim/wire.rs
+++ b/src/claim/wire.rs
@@ -1,4 +1,4 @@
-//! Frames between entries and writers.
+//! Frames between entry nodes and claim writers.
 
 use std::time;
 
@@ -13,65 +13,66 @@
 /// Largest frame, in bytes.
 pub const FRAME_BYTES: usize = 1 << 20;
 
-/// Most questions or replies in one frame.
-pub const MOST: usize = 4096;
+/// Limit on the claims or replies of one frame.
+pub const MAX_PER_FRAME: usize = 4096;
 
-/// First frame of a connection, sealed with the mesh's key. A greeting that is replayed opens a
-/// connection on which claims can be made in the name of `from`, by whoever can read the traffic
-/// of the mesh; the seal keeps strangers out, not those who listen.
+/// First frame of a connection, sealed with the mesh's key.
+///
+/// Someone who can read the mesh's traffic can replay a greeting and then make claims in the name
+/// of `from`: the seal keeps out peers without the key, not eavesdroppers.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Hello {
-    /// Who connects.
+    /// The host that connects.
     pub from: host::HostId,
-    /// To whom; another host refuses it.
+    /// The host it connects to; any other host refuses the greeting.
     pub to: host::HostId,
 }
 
-/// One claim or release.
+/// A request for one claim or release.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Question {
-    /// Names the question on its connection.
+pub struct ClaimRequest {
+    /// Identifies the request on its connection.
     pub id: u64,
-    /// What is asked.
+    /// The claim or release.
     pub entry: record::Entry,
-    /// How long an answer is of use, in milliseconds.
-    pub left_ms: u32,
+    /// Time until the deadline, in milliseconds.
+    pub remaining_ms: u32,
 }
 
-/// What a writer says, see [`claim::event::Answer`].
+/// A writer's answer in its encoded form, see [`claim::event::Answer`].
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Reply {
-    /// The log has the claim.
+    /// The claim is in the log.
     Claimed(claim::Verdict),
-    /// The log has the release.
+    /// The release is in the log.
     Released,
     /// The log can't be reached.
     Unavailable {
-        /// When another try may be worth it, in milliseconds.
+        /// How long to wait before a retry, in milliseconds.
         retry_ms: u32,
-        /// Whether the entry may be in the log or still get there.
+        /// Whether the entry may be in the log or may still reach it.
         written: bool,
     },
-    /// Too much waits.
+    /// Too many entries wait.
     Busy {
-        /// When another try may be worth it, in milliseconds.
+        /// How long to wait before a retry, in milliseconds.
         retry_ms: u32,
     },
-    /// The time left passed before the verdict.
+    /// The deadline passed before the verdict.
     Late {
-        /// Whether the entry may be in the log or still get there.
+        /// Whether the entry may be in the log or may still reach it.
         written: bool,
     },
 }
 
 /// A frame to a writer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Ask {
+pub enum Request {
     /// Claims and releases.
-    Claims(Vec<Question>),
+    Claims(Vec<ClaimRequest>),
     /// A record for the `usage` stream.
     Usage {
-        /// Names the record on its connection.
+        /// Identifies the record on its connection.
         id: u64,
         /// The record.
         record: Bytes,
@@ -80,23 +81,23 @@
 
 /// A frame from a writer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Tell {
-    /// Replies by the number of their question.
+pub enum Response {
+    /// Replies, each with the id of its request.
     Claims(Vec<(u64, Reply)>),
     /// The record is in the log.
     Usage {
-        /// Number of the record.
+        /// Id of the record.
         id: u64,
     },
 }
 
-/// The frame of `message`.
+/// Encodes `message` as a frame.
 pub fn encode<T: Serialize>(message: &T) -> Bytes {
-    // Writing to a vector can't fail; an empty frame is refused by every reader.
+    // Writing to a vector can't fail; every reader refuses an empty frame.
     postcard::to_stdvec(message).map(Bytes::from).unwrap_or_default()
 }
 
-/// The message of `frame`, `None` when it is malformed.
+/// Decodes the message of `frame`; `None` when it is malformed.
 pub fn decode<T: serde::de::DeserializeOwned>(frame: &[u8]) -> Option<T> {
     let (message, rest) = postcard::take_from_bytes(frame).ok()?;
     rest.is_empty().then_some(message)
--- a/src/claim/writer.rs
+++ b/src/claim/writer.rs
@@ -1,9 +1,9 @@
 //! The writer of one partition's claims.
 //!
 //! Any number of writers may write the same partition: each answers from what it reads back from
-//! the log, never from what it wrote. A lost answer of an append is therefore resolved by reading;
-//! entries that are not read back are written again, which is harmless, since a claim is known by
-//! its attempt.
+//! the log, never from what it wrote. A lost answer of an append is therefore resolved by reading.
+//! Entries that are not read back are written again, which is harmless, since a claim is identified
+//! by its attempt.
 
 use std::collections;
 use std::collections::hash_map;
@@ -11,70 +11,71 @@
 
 use crate::claim;
 use crate::claim::circuit;
-use crate::claim::event::{Action, Answer, End, Event, Limits, Ticket, Token};
+use crate::claim::event::{Action, Answer, AppendId, AppendOutcome, Event, Limits, Token};
 use crate::claim::fold;
 use crate::claim::follow;
 use crate::claim::record;
 use crate::clock;
 use crate::logs;
 
-/// How often deadlines are looked at.
-const TICK: time::Duration = time::Duration::from_millis(20);
+/// How often deadlines and the append in flight are checked.
+const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
-/// How far back a writer doubts that the log still has what it has read there, once that came back from an
-/// older copy.
-const DOUBT: time::Duration = time::Duration::from_secs(60);
+/// After the log was restored from an older copy, entries of this last stretch of log time may be
+/// missing from it and are written again.
+const RECHECK_WINDOW: time::Duration = time::Duration::from_secs(60);
 
-/// Somebody who waits for an entry.
+/// A request that waits for its entry to be read back.
 #[derive(Clone, Copy, Debug)]
 struct Waiter {
     token: Token,
     deadline: clock::Instant,
 }
 
-/// An entry that somebody waits for.
+/// An entry that requests wait for.
 #[derive(Debug)]
 struct Pending {
     waiters: Vec<Waiter>,
-    /// Whether it was part of an append that did not certainly fail.
+    /// Whether it was part of an append that may have succeeded.
     written: bool,
     /// Whether it was part of an append whose answer was lost.
     repeated: bool,
 }
 
-/// An append whose entries have not all been read back.
+/// An append in flight: its entries have not all been read back.
 #[derive(Debug)]
 struct Flight {
-    ticket: Ticket,
+    id: AppendId,
     entries: Vec<record::Entry>,
     since: clock::Instant,
 }
 
-/// The writer. It holds no lease: it may be paused, replaced or doubled at any moment.
+/// The writer. It holds no lease: at any moment it may be paused or replaced, or another writer of
+/// the same partition may run beside it.
 #[derive(Debug)]
 pub struct Writer {
     limits: Limits,
     fold: fold::Fold,
     follower: follow::Follower,
     pending: collections::HashMap<record::Entry, Pending>,
-    /// Entries not part of a flight, oldest first; those no longer pending are skipped.
+    /// Entries to append, oldest first; those no longer pending are skipped.
     queue: collections::VecDeque<record::Entry>,
     flight: Option<Flight>,
-    /// What this writer knows and has not read again since the log came back from an older copy.
-    doubtful: collections::BTreeSet<record::Entry>,
+    /// Entries read before the log was restored from an older copy and not read again since.
+    unconfirmed: collections::BTreeSet<record::Entry>,
     /// When the next append may be made.
-    free: clock::Instant,
+    next_append: clock::Instant,
     appends: circuit::Circuit,
     reads: circuit::Circuit,
     /// Whether a read is under way.
     reading: bool,
-    /// When deadlines were looked at.
-    ticked: clock::Instant,
-    tickets: u64,
+    /// When deadlines were last checked.
+    last_check: clock::Instant,
+    append_ids: u64,
 }
 
 impl Writer {
-    /// A writer that has not read anything yet.
+    /// A writer that has read nothing yet.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
@@ -83,33 +84,33 @@
             pending: collections::HashMap::new(),
             queue: collections::VecDeque::new(),
             flight: None,
-            doubtful: collections::BTreeSet::new(),
-            free: clock::Instant::ZERO,
+            unconfirmed: collections::BTreeSet::new(),
+            next_append: clock::Instant::ZERO,
             appends: circuit::Circuit::default(),
             reads: circuit::Circuit::default(),
             reading: false,
-            ticked: clock::Instant::ZERO,
-            tickets: 0,
+            last_check: clock::Instant::ZERO,
+            append_ids: 0,
         }
     }
 
-    /// Takes an event and gives what is to be done.
+    /// Handles an event and returns what is to be done.
     pub fn handle(&mut self, event: Event, now: clock::Instant) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
-            Event::Ask { token, entry, deadline } => {
-                if let Some(answer) = self.ask(Waiter { token, deadline }, entry, now) {
+            Event::Request { token, entry, deadline } => {
+                if let Some(answer) = self.request(Waiter { token, deadline }, entry, now) {
                     actions.push(Action::Answer(token, answer));
                 }
             }
-            Event::Appended { ticket, end } => self.appended(ticket, end, now, &mut actions),
+            Event::Appended { id, outcome } => self.appended(id, outcome, now, &mut actions),
             Event::Read(batch) => self.read(batch, now, &mut actions),
             Event::Tick => {}
         }
-        if now.since(self.ticked) >= TICK {
-            self.ticked = now;
+        if now.since(self.last_check) >= CHECK_INTERVAL {
+            self.last_check = now;
             self.expire(now, &mut actions);
-            self.watch(now, &mut actions);
+            self.check_flight(now, &mut actions);
         }
         self.append(now, &mut actions);
         self.follow(now, &mut actions);
@@ -118,18 +119,19 @@
 
     /// When [`Event::Tick`] is due at the latest, if nothing else happens.
     pub fn wake(&self) -> Option<clock::Instant> {
-        let waiters = (!self.pending.is_empty()).then(|| self.ticked + TICK);
-        // What can't be written yet waits for a read, not for a moment.
+        let waiters = (!self.pending.is_empty()).then(|| self.last_check + CHECK_INTERVAL);
+        // Before the stream is read, or with an append in flight, a read has to come first, so no
+        // time is set for the queue.
         let ready = self.follower.current() && self.flight.is_none();
-        let queued = ready && !(self.queue.is_empty() && self.doubtful.is_empty());
-        let queued = queued.then(|| self.free.max(self.appends.until()));
-        let read = (!self.reading).then(|| self.reads.until());
+        let queued = ready && !(self.queue.is_empty() && self.unconfirmed.is_empty());
+        let queued = queued.then(|| self.next_append.max(self.appends.next_attempt()));
+        let read = (!self.reading).then(|| self.reads.next_attempt());
         waiters.into_iter().chain(queued).chain(read).min()
     }
 
-    /// Whether nobody waits for anything, and nothing is to be written.
+    /// Whether no request waits and nothing is to be written.
     pub fn idle(&self) -> bool {
-        self.pending.is_empty() && self.doubtful.is_empty()
+        self.pending.is_empty() && self.unconfirmed.is_empty()
     }
 
     /// Whether the stream has been read up to its end.
@@ -137,20 +139,25 @@
         self.follower.current()
     }
 
-    /// Keys held in memory.
+    /// Number of keys held in memory.
     pub fn held(&self) -> usize {
         self.fold.len()
     }
 
-    /// Takes a claim or release; answers at once where that is possible.
-    fn ask(&mut self, waiter: Waiter, entry: record::Entry, now: clock::Instant) -> Option<Answer> {
+    /// Handles a claim or release; returns the answer if it is known at once.
+    fn request(
+        &mut self,
+        waiter: Waiter,
+        entry: record::Entry,
+        now: clock::Instant,
+    ) -> Option<Answer> {
         if waiter.deadline <= now {
             return Some(Answer::Failed { error: claim::Error::Late, written: false });
         }
-        if let Some(answer) = self.known(&entry) {
+        if let Some(answer) = self.known_answer(&entry) {
             return Some(answer);
         }
-        if let Some(retry_after) = self.closed(now) {
+        if let Some(retry_after) = self.unavailable_for(now) {
             let error = claim::Error::Unavailable { retry_after };
             return Some(Answer::Failed { error, written: false });
         }
@@ -169,15 +176,15 @@
         None
     }
 
-    /// The answer that the log read so far gives.
+    /// The answer according to the log as read so far.
     ///
-    /// That a key is taken stays true until a release that this writer has not read; whoever asks
-    /// then is told of a holder that has just given up, and may ask again.
-    fn known(&self, entry: &record::Entry) -> Option<Answer> {
+    /// A key that is taken here may have been released since by an entry that this writer has not
+    /// read. The caller is then answered with a holder that has just released, and may retry.
+    fn known_answer(&self, entry: &record::Entry) -> Option<Answer> {
         if !self.follower.current() {
             return None;
         }
-        let void = self.fold.void(entry.key, entry.attempt);
+        let void = self.fold.is_void(entry.key, entry.attempt);
         match entry.op {
             record::Op::Release => void.then_some(Answer::Released),
             record::Op::Claim => match self.fold.verdict(entry.key, entry.attempt) {
@@ -188,36 +195,37 @@
         }
     }
 
-    /// How long to ask again, while the log fails.
-    fn closed(&self, now: clock::Instant) -> Option<time::Duration> {
-        let stuck = self.flight.as_ref().is_some_and(|f| self.late(f, now));
+    /// Retry-after while the log fails; `None` while it works.
+    fn unavailable_for(&self, now: clock::Instant) -> Option<time::Duration> {
+        let stuck = self.flight.as_ref().is_some_and(|f| self.is_stuck(f, now));
         let stuck = stuck.then_some(self.limits.append_timeout);
-        self.appends.open(now).max(self.reads.open(now)).or(stuck)
+        self.appends.open_for(now).max(self.reads.open_for(now)).or(stuck)
     }
 
-    fn late(&self, flight: &Flight, now: clock::Instant) -> bool {
+    /// Whether `flight` was not read back within the append timeout.
+    fn is_stuck(&self, flight: &Flight, now: clock::Instant) -> bool {
         now.since(flight.since) >= self.limits.append_timeout
     }
 
-    /// Notes how an append ended. A success alone answers nobody; after a failure its entries are
-    /// written again, unless they are read back meanwhile.
+    /// Records the outcome of an append. Requests are answered only when their entries are read
+    /// back; after a failure the entries are written again, unless they are read back meanwhile.
     fn appended(
         &mut self,
-        ticket: Ticket,
-        end: End,
+        id: AppendId,
+        outcome: AppendOutcome,
         now: clock::Instant,
         actions: &mut Vec<Action>,
     ) {
-        let flight = self.flight.take_if(|flight| flight.ticket == ticket);
-        if end == End::Done {
+        let flight = self.flight.take_if(|flight| flight.id == id);
+        if outcome == AppendOutcome::Appended {
             self.appends.succeed();
             return;
         }
         let Some(flight) = flight else { return };
         for entry in flight.entries.into_iter().rev() {
             if let Some(pending) = self.pending.get_mut(&entry) {
-                pending.written &= end == End::Unknown || pending.repeated;
-                pending.repeated |= end == End::Unknown;
+                pending.written &= outcome == AppendOutcome::Unknown || pending.repeated;
+                pending.repeated |= outcome == AppendOutcome::Unknown;
                 self.queue.push_front(entry);
             }
         }
@@ -226,9 +234,9 @@
         }
     }
 
-    /// Answers everybody that there is no verdict. Their entries are not written any more.
+    /// Answers all waiting requests that there is no verdict, and drops their unwritten entries.
     fn refuse(&mut self, now: clock::Instant, actions: &mut Vec<Action>) {
-        let retry_after = self.closed(now).unwrap_or(self.limits.append_timeout);
+        let retry_after = self.unavailable_for(now).unwrap_or(self.limits.append_timeout);
         let error = claim::Error::Unavailable { retry_after };
         self.queue.clear();
         for (_, pending) in self.pending.drain() {
@@ -237,7 +245,7 @@
         }
     }
 
-    /// Takes what a read gave.
+    /// Handles the result of a read.
     fn read(&mut self, batch: Option<logs::Batch>, now: clock::Instant, actions: &mut Vec<Action>) {
         self.reading = false;
         let Some(batch) = batch else {
@@ -248,18 +256,18 @@
             return;
         };
         self.reads.succeed();
-        match self.follower.take(&batch) {
-            follow::Step::Look => {}
-            follow::Step::Back => self.doubt(),
+        match self.follower.advance(&batch) {
+            follow::Step::Seek => {}
+            follow::Step::Restored => self.mark_unconfirmed(),
             follow::Step::Gap => self.fold = fold::Fold::new(self.limits.window),
-            follow::Step::Take => batch.records.iter().for_each(|r| self.apply(r, actions)),
+            follow::Step::Apply => batch.records.iter().for_each(|r| self.apply(r, actions)),
         }
     }
 
-    /// The log came back from an older copy: what was read lately may be gone, and so may an append that has
-    /// not been read back.
-    fn doubt(&mut self) {
-        self.doubtful.extend(self.fold.recent(DOUBT));
+    /// Handles a log that was restored from an older copy: entries read lately may be missing from
+    /// it, and so may an append that has not been read back. All of these are written again.
+    fn mark_unconfirmed(&mut self) {
+        self.unconfirmed.extend(self.fold.recent(RECHECK_WINDOW));
         self.flight = None;
         let queued: collections::HashSet<_> = self.queue.iter().copied().collect();
         let unread = self.pending.iter_mut().filter(|(entry, _)| !queued.contains(*entry));
@@ -273,19 +281,19 @@
         unread.into_iter().rev().for_each(|entry| self.queue.push_front(entry));
     }
 
-    /// Folds one record and answers those who waited for its entries.
+    /// Applies one record and answers the requests that wait for its entries.
     fn apply(&mut self, record: &logs::Record, actions: &mut Vec<Action>) {
-        // A record that doesn't decode claims nothing, for every writer alike.
+        // Every writer ignores a record that does not decode, so all agree on the verdicts.
         let Ok(entries) = record::decode(&record.body) else { return };
         for entry in entries {
-            self.doubtful.remove(&entry);
+            self.unconfirmed.remove(&entry);
             self.fold.apply(record.unix_millis, &entry);
             let Some(pending) = self.pending.remove(&entry) else { continue };
             let answer = self.verdict(&entry);
             actions.extend(pending.waiters.iter().map(|w| Action::Answer(w.token, answer)));
         }
         let waits = |entry: &record::Entry| {
-            self.pending.contains_key(entry) || self.doubtful.contains(entry)
+            self.pending.contains_key(entry) || self.unconfirmed.contains(entry)
         };
         let unread = |flight: &Flight| flight.entries.iter().any(waits);
         if self.flight.as_ref().is_some_and(|flight| !unread(flight)) {
@@ -294,7 +302,7 @@
         }
     }
 
-    /// What the log says about an entry that was read just now.
+    /// The answer for an entry that was just read.
     fn verdict(&self, entry: &record::Entry) -> Answer {
         if entry.op == record::Op::Release {
             return Answer::Released;
@@ -304,34 +312,34 @@
         verdict.map_or(late, Answer::Claimed)
     }
 
-    /// Gives up what is past its deadline.
+    /// Answers requests past their deadline; entries without further requests are dropped.
     fn expire(&mut self, now: clock::Instant, actions: &mut Vec<Action>) {
         self.pending.retain(|_, pending| {
             let answer = Answer::Failed { error: claim::Error::Late, written: pending.written };
-            let (late, left) = pending.waiters.iter().partition(|w| w.deadline <= now);
-            pending.waiters = left;
+            let (late, remaining) = pending.waiters.iter().partition(|w| w.deadline <= now);
+            pending.waiters = remaining;
             let late: Vec<Waiter> = late;
             actions.extend(late.iter().map(|w| Action::Answer(w.token, answer)));
             !pending.waiters.is_empty()
         });
     }
 
-    /// Lets the log count as failing when an append has not been read back for long.
-    fn watch(&mut self, now: clock::Instant, actions: &mut Vec<Action>) {
-        let late = self.flight.as_ref().is_some_and(|flight| self.late(flight, now));
+    /// Refuses all waiting requests when the append in flight was not read back within its timeout.
+    fn check_flight(&mut self, now: clock::Instant, actions: &mut Vec<Action>) {
+        let late = self.flight.as_ref().is_some_and(|flight| self.is_stuck(flight, now));
         if late && !self.pending.is_empty() {
             self.refuse(now, actions);
         }
     }
 
-    /// Writes what waits, when it may.
+    /// Appends waiting entries if an append may be made now.
     fn append(&mut self, now: clock::Instant, actions: &mut Vec<Action>) {
         let ready = self.follower.current() && self.appends.ready(now);
-        if !ready || self.flight.is_some() || now < self.free {
+        if !ready || self.flight.is_some() || now < self.next_append {
             return;
         }
         let mut entries = self.rewritten();
-        while self.doubtful.is_empty() && entries.len() < record::MOST {
+        while self.unconfirmed.is_empty() && entries.len() < record::MAX_ENTRIES {
             let Some(entry) = self.queue.pop_front() else { break };
             if let Some(pending) = self.pending.get_mut(&entry) {
                 pending.written = true;
@@ -341,21 +349,25 @@
         if entries.is_empty() {
             return;
         }
-        self.tickets += 1;
-        let ticket = Ticket(self.tickets);
-        actions.push(Action::Append(ticket, record::encode(&entries)));
-        self.flight = Some(Flight { ticket, entries, since: now });
-        self.free = now + self.limits.append_interval;
+        self.append_ids += 1;
+        let id = AppendId(self.append_ids);
+        actions.push(Action::Append(id, record::encode(&entries)));
+        self.flight = Some(Flight { id, entries, since: now });
+        self.next_append = now + self.limits.append_interval;
     }
 
-    /// What is to be written again, before anything new. Releases come first, so that whoever holds a key now
-    /// finds it free.
+    /// Entries to write again, which go before new ones. Releases come first, so that the claim of
+    /// the current holder finds its key free.
     fn rewritten(&self) -> Vec<record::Entry> {
-        let of = |op| self.doubtful.iter().filter(move |entry| entry.op == op);
-        of(record::Op::Release).chain(of(record::Op::Claim)).take(record::MOST).copied().collect()
+        let of = |op| self.unconfirmed.iter().filter(move |entry| entry.op == op);
+        of(record::Op::Release)
+            .chain(of(record::Op::Claim))
+            .take(record::MAX_ENTRIES)
+            .copied()
+            .collect()
     }
 
-    /// Keeps one read under way.
+    /// Starts the next read unless one is under way.
     fn follow(&mut self, now: clock::Instant, actions: &mut Vec<Action>) {
         if !self.reading && self.reads.ready(now) {
             self.reading = true;
--- a/src/claim/writers.rs
+++ b/src/claim/writers.rs
@@ -1,31 +1,32 @@
-//! Which hosts write which partition, as one node sees it.
+//! Assigns partitions to the hosts that write them, from one node's view.
 //!
-//! Two nodes whose views differ may ask two writers. That costs an append more, never safety: the
-//! order of the log decides.
+//! Two nodes whose views differ may ask two different writers. That costs an extra append but no
+//! safety, since the order of the log decides.
 
 use crate::claim;
 use crate::host;
 use crate::view;
 
+/// Keeps the ranking of hosts for claims independent of other rankings of the same hosts.
 const PURPOSE: u64 = 0x636c_6169;
 
-/// Writers known for each partition: the one that is due, and those to ask when it fails.
-pub const CHOICES: usize = 3;
+/// Candidate writers of each partition: the assigned one and those to ask when it fails.
+pub const CANDIDATES: usize = 3;
 
-/// The partition of `key` among `partitions`, which is not 0.
+/// The partition of `key` among `partitions`, which must not be 0.
 pub fn partition(key: claim::Key, partitions: u16) -> u16 {
     let [first, second, third, fourth, ..] = key.0;
     let number = u32::from_le_bytes([first, second, third, fourth]);
     u16::try_from(number % u32::from(partitions.max(1))).unwrap_or(0)
 }
 
-/// Writers of every partition, kept while the set of hosts stays the same.
+/// Candidate writers of every partition, cached while the set of hosts stays the same.
 #[derive(Debug)]
 pub struct Table {
-    /// Hosts that are not known to be unreachable, sorted.
+    /// Hosts that are not known to be unreachable, sorted by id.
     hosts: Vec<host::HostId>,
-    /// By partition; `None` while not asked for.
-    ranked: Vec<Option<[Option<host::HostId>; CHOICES]>>,
+    /// Candidates by partition; `None` until they are first needed.
+    ranked: Vec<Option<[Option<host::HostId>; CANDIDATES]>>,
 }
 
 impl Table {
@@ -34,7 +35,7 @@
         Self { hosts: Vec::new(), ranked: vec![None; usize::from(partitions)] }
     }
 
-    /// Takes a new view.
+    /// Updates the hosts from a new view.
     pub fn update(&mut self, view: &view::View) {
         let reachable = view.hosts.iter().filter(|h| h.health != view::Health::Unreachable);
         let hosts: Vec<host::HostId> = reachable.map(|h| h.id).collect();
@@ -44,8 +45,9 @@
         }
     }
 
-    /// The writer of `partition` to ask in the try number `number`, from 0.
-    pub fn choice(&mut self, partition: u16, number: usize) -> Option<host::HostId> {
+    /// The writer of `partition` to ask in attempt `number`, counted from 0; after the last
+    /// candidate the first one follows again. `None` when no host is reachable.
+    pub fn candidate(&mut self, partition: u16, number: usize) -> Option<host::HostId> {
         let hosts = &self.hosts;
         let ranked = self.ranked.get_mut(usize::from(partition))?;
         let ranked = ranked.get_or_insert_with(|| rank(hosts, partition));
@@ -54,20 +56,20 @@
     }
 }
 
-fn rank(hosts: &[host::HostId], partition: u16) -> [Option<host::HostId>; CHOICES] {
-    let mut best: [Option<(u64, host::HostId)>; CHOICES] = [None; CHOICES];
+fn rank(hosts: &[host::HostId], partition: u16) -> [Option<host::HostId>; CANDIDATES] {
+    let mut best: [Option<(u64, host::HostId)>; CANDIDATES] = [None; CANDIDATES];
     for &host in hosts {
         let mut candidate = (host.weight(PURPOSE, u64::from(partition)), host);
-        for place in &mut best {
-            match place {
+        for slot in &mut best {
+            match slot {
                 Some(held) if *held <= candidate => {}
                 Some(held) => std::mem::swap(held, &mut candidate),
                 None => {
-                    *place = Some(candidate);
+                    *slot = Some(candidate);
                     break;
                 }
             }
         }
     }
-    best.map(|place| place.map(|(_, host)| host))
+    best.map(|slot| slot.map(|(_, host)| host))
 }
--- a/src/node/shell.rs
+++ b/src/node/shell.rs
@@ -164,7 +164,7 @@
         let (tallies_in, tallies) = ring::bounded(TALLIES);
         self.metrics.ring("heard", &heard_in);
         let (usage_in, usage) = ring::bounded(TALLIES);
-        let (claims, ends) = claim::handle::pair();
+        let (claims, receivers) = claim::handle::pair();
         self.metrics.ring("tallies", &tallies_in);
         self.metrics.ring("claims", claims.claims());
         self.metrics.ring("releases", claims.releases());
@@ -189,7 +189,7 @@
             traffic: Arc::clone(&self.traffic),
         })?;
         let ledger = self.ledger(claim::shell::Wiring {
-            ends,
+            receivers,
             deltas: usage,
             view: view.clone(),
             applied: applied.clone(),
--- a/src/usage/collect.rs
+++ b/src/usage/collect.rs
@@ -1,4 +1,4 @@
-//! The writer of usage: many nodes' totals in one append.
+//! Batches the totals of many nodes into one append to the `usage` stream.
 
 use std::time;
 
@@ -7,55 +7,57 @@
 use crate::clock;
 use crate::usage::record;
 
-/// Most bytes of totals that wait; more are not taken and come again.
-const WAITING_BYTES: usize = 4 << 20;
+/// Limit on the bytes of waiting totals. Totals beyond it are dropped, and their nodes send them
+/// again.
+const MAX_WAITING_BYTES: usize = 4 << 20;
 
-/// Most bytes of totals in one record.
-const RECORD_BYTES: usize = 512 << 10;
+/// Limit on the bytes of totals in one record.
+const MAX_RECORD_BYTES: usize = 512 << 10;
 
-/// A total that waits.
+/// A total that waits to be appended.
 #[derive(Debug)]
 struct Waiting<T> {
     token: T,
     body: Bytes,
 }
 
-/// Totals that wait for their append.
+/// Totals that wait to be appended, and the senders of those being appended.
 #[derive(Debug)]
 pub struct Collector<T> {
-    group: time::Duration,
+    interval: time::Duration,
     waiting: Vec<Waiting<T>>,
     bytes: usize,
-    /// Tokens of the append under way; its end is always told, see [`Collector::appended`].
+    /// Tokens of the append in flight; every append ends with [`Collector::appended`].
     flight: Option<Vec<T>>,
-    free: clock::Instant,
+    next_append: clock::Instant,
 }
 
 impl<T> Collector<T> {
-    /// A collector that makes an append each `group` at most.
-    pub fn new(group: time::Duration) -> Self {
-        let free = clock::Instant::ZERO;
-        Self { group, waiting: Vec::new(), bytes: 0, flight: None, free }
+    /// A collector that makes at most one append per `interval`.
+    pub fn new(interval: time::Duration) -> Self {
+        let next_append = clock::Instant::ZERO;
+        Self { interval, waiting: Vec::new(), bytes: 0, flight: None, next_append }
     }
 
-    /// Takes a total; `token` names who sent it. Drops what is not a total or finds no room.
+    /// Adds a total; `token` identifies its sender. A malformed total, or one that exceeds the
+    /// limit, is dropped.
     pub fn add(&mut self, token: T, body: Bytes) {
-        let room = self.bytes + body.len() <= WAITING_BYTES;
-        if room && record::decode(&body).is_some() {
+        let fits = self.bytes + body.len() <= MAX_WAITING_BYTES;
+        if fits && record::decode(&body).is_some() {
             self.bytes += body.len();
             self.waiting.push(Waiting { token, body });
         }
     }
 
-    /// The record to append now, if one is due.
+    /// Returns the record to append now, if an append is due.
     pub fn poll(&mut self, now: clock::Instant) -> Option<Bytes> {
-        if self.flight.is_some() || self.waiting.is_empty() || now < self.free {
+        if self.flight.is_some() || self.waiting.is_empty() || now < self.next_append {
             return None;
         }
         let mut bytes = 0;
         let fits = |waiting: &&Waiting<T>| {
             bytes += waiting.body.len();
-            bytes <= RECORD_BYTES
+            bytes <= MAX_RECORD_BYTES
         };
         let count = self.waiting.iter().take_while(fits).count().max(1);
         let taken: Vec<Waiting<T>> = self.waiting.drain(..count).collect();
@@ -63,18 +65,18 @@
             taken.into_iter().map(|waiting| (waiting.token, waiting.body)).unzip();
         self.bytes -= bodies.iter().map(Bytes::len).sum::<usize>();
         self.flight = Some(tokens);
-        self.free = now + self.group;
+        self.next_append = now + self.interval;
         Some(record::join(&bodies))
     }
 
-    /// When [`Collector::poll`] is due, if it is.
+    /// When [`Collector::poll`] is due; `None` while nothing waits or an append is in flight.
     pub fn wake(&self) -> Option<clock::Instant> {
         let due = self.flight.is_none() && !self.waiting.is_empty();
-        due.then_some(self.free)
+        due.then_some(self.next_append)
     }
 
-    /// Notes how the append ended and gives the tokens of the totals that stand in the log. After
-    /// a failure there are none: their nodes send them again.
+    /// Records the outcome of the append and returns the tokens of the totals that are now in the
+    /// log. After a failure there are none; their nodes send the totals again.
     pub fn appended(&mut self, success: bool) -> Vec<T> {
         let flight = self.flight.take();
         flight.filter(|_| success).unwrap_or_default()
--- a/src/usage/post.rs
+++ b/src/usage/delivery.rs
@@ -1,4 +1,5 @@
-//! Usage in the ledger's thread: this node's totals out, others' totals into the log.
+//! Delivery of usage in the ledger duty: sends this node's totals to a writer and, where this node
+//! is a writer, appends the totals of others to the log.
 
 use std::time;
 
@@ -17,17 +18,18 @@
 use crate::usage::{collect, outbox};
 use crate::view;
 
+/// Keeps the ranking of hosts for usage independent of other rankings of the same hosts.
 const PURPOSE: u64 = 0x7573_6167;
 
-/// Writers to turn to beside those of the settings, when these fail.
-const SPARE: usize = 2;
+/// Number of fallback writers beside those of the settings.
+const SPARE_WRITERS: usize = 2;
 
-/// Who sent a total: number of the connection and of the total on it; `None` for this node.
+/// Sender of a total: number of the connection and id of the total on it; `None` for this node.
 type Origin = Option<(u64, u64)>;
 
 /// Usage of one node and, where it is a writer, of others.
 #[derive(Debug)]
-pub struct Post<L> {
+pub struct Delivery<L> {
     host: host::HostId,
     zone: SmolStr,
     count: usize,
@@ -35,14 +37,14 @@
     inputs: mpsc::Sender<Input>,
     outbox: outbox::Outbox,
     collector: collect::Collector<Origin>,
-    /// Writers of this zone, those that are due first.
+    /// Writers of this availability zone, the preferred ones first.
     writers: Vec<host::HostId>,
-    /// Number of the total that this node is itself writing.
+    /// Number of this node's own total while it is written here.
     own: Option<u64>,
 }
 
-impl<L: logs::Service> Post<L> {
-    /// Usage of a process that begins.
+impl<L: logs::Service> Delivery<L> {
+    /// The state at the start of the process.
     pub fn new(
         ctx: context::Context,
         settings: &configs::Node,
@@ -51,21 +53,21 @@
     ) -> Self {
         let flush = time::Duration::from_millis(settings.usage.flush_ms);
         let group = time::Duration::from_millis(settings.usage.group_ms);
-        let (host, life) = (settings.host(), ctx.seed_for("usage"));
+        let (host, incarnation) = (settings.host(), ctx.seed_for("usage"));
         Self {
             host,
             zone: settings.zone.clone(),
             count: usize::from(settings.usage.writers.max(1)),
             log,
             inputs,
-            outbox: outbox::Outbox::new(host, life, flush, ctx.now()),
+            outbox: outbox::Outbox::new(host, incarnation, flush, ctx.now()),
             collector: collect::Collector::new(group),
             writers: Vec::new(),
             own: None,
         }
     }
 
-    /// Takes a new view.
+    /// Chooses the writers from a new view.
     pub fn update(&mut self, view: &view::View) {
         let mut writers: Vec<(u64, host::HostId)> = view
             .hosts
@@ -73,7 +75,7 @@
             .filter(|h| h.locality.zone == self.zone && h.health != view::Health::Unreachable)
             .map(|h| (h.id.weight(PURPOSE, 0), h.id))
             .collect();
-        let kept = (self.count + SPARE).min(writers.len());
+        let kept = (self.count + SPARE_WRITERS).min(writers.len());
         if kept > 0 {
             writers.select_nth_unstable(kept - 1);
         }
@@ -82,18 +84,18 @@
         self.writers = writers.into_iter().map(|(_, host)| host).collect();
     }
 
-    /// Adds what was counted.
+    /// Adds counted usage.
     pub fn count(&mut self, delta: &usage::Delta) {
         self.outbox.add(delta);
     }
 
-    /// Takes a total to be written here.
+    /// Adds a total to be written here.
     pub fn add(&mut self, origin: Origin, record: Bytes) {
         self.collector.add(origin, record);
     }
 
-    /// Makes the append that is due, if one is, and gives a total to send: to whom, its number and
-    /// the total. With `last`, what was counted goes out at once.
+    /// Starts an append if one is due and returns a total to send, if any: the writer, the total's
+    /// number and the total. With `last`, counts are sent without waiting for the flush interval.
     pub fn poll(
         &mut self,
         now: clock::Instant,
@@ -108,45 +110,47 @@
         send
     }
 
-    /// When [`Post::poll`] is due.
+    /// When [`Delivery::poll`] is due.
     pub fn wake(&self) -> Option<clock::Instant> {
         Some(self.collector.wake().map_or(self.outbox.wake(), |w| w.min(self.outbox.wake())))
     }
 
-    /// Notes how the append ended; gives connection and number of the totals that stand.
+    /// Records the outcome of the append; returns the connection and id of other nodes' totals that
+    /// are now in the log.
     pub fn appended(&mut self, success: bool, now: clock::Instant) -> Vec<(u64, u64)> {
-        let stand = self.collector.appended(success);
-        let own = stand.contains(&None).then(|| self.own.take()).flatten();
-        own.into_iter().for_each(|sequence| self.outbox.stands(sequence, now));
-        stand.into_iter().flatten().collect()
+        let confirmed = self.collector.appended(success);
+        let own = confirmed.contains(&None).then(|| self.own.take()).flatten();
+        own.into_iter().for_each(|sequence| self.outbox.confirm(sequence, now));
+        confirmed.into_iter().flatten().collect()
     }
 
-    /// Notes that this node's total `sequence` stands in the log.
-    pub fn stands(&mut self, sequence: u64, now: clock::Instant) {
-        self.outbox.stands(sequence, now);
+    /// Records that this node's total `sequence` is in the log.
+    pub fn confirm(&mut self, sequence: u64, now: clock::Instant) {
+        self.outbox.confirm(sequence, now);
     }
 
-    /// Notes that the log came back from an older copy.
+    /// Handles a log that was restored from an older copy.
     pub fn restored(&mut self, now: clock::Instant) {
         self.outbox.restored(now);
     }
 
-    /// Notes that a connection failed.
-    pub fn lost(&mut self, now: clock::Instant) {
-        self.outbox.lost(now);
+    /// Handles a failed connection to a writer.
+    pub fn disconnected(&mut self, now: clock::Instant) {
+        self.outbox.disconnected(now);
     }
 
-    /// Whether everything counted here stands in the log.
+    /// Whether all usage counted by this node is in the log.
     pub fn is_empty(&self) -> bool {
         self.outbox.is_empty()
     }
 
-    /// Chooses the writer of a total; takes it itself when that is this node or nobody is known.
+    /// Chooses the writer of a total. The total is written here, and `None` returned, when that is
+    /// this node or no writer is known.
     fn route(&mut self, send: outbox::Send) -> Option<(host::HostId, u64, Bytes)> {
         let spread = self.host.weight(PURPOSE, 1) % self.count as u64;
         let first = usize::try_from(spread).unwrap_or(0);
-        let place = (first + send.tries).checked_rem(self.writers.len());
-        let writer = place.and_then(|place| self.writers.get(place)).copied();
+        let index = (first + send.attempts).checked_rem(self.writers.len());
+        let writer = index.and_then(|index| self.writers.get(index)).copied();
         match writer {
             Some(writer) if writer != self.host => Some((writer, send.sequence, send.body)),
             _ => {
--- a/src/usage/mod.rs
+++ b/src/usage/mod.rs
@@ -1,7 +1,7 @@
 //! Usage by organisation and kind.
 //!
-//! The entry of a call counts it, once, when it has answered. Each organisation is charged for the calls
-//! its services served whole, each worth its kind's weight.
+//! The entry node of a call counts it once, when it has answered. Each organisation is charged for
+//! the calls that its services answered completely, each with the weight of its kind.
 
 use std::time;
 
@@ -11,8 +11,8 @@
 use crate::mesh;
 
 pub mod collect;
+pub mod delivery;
 pub mod outbox;
-pub mod post;
 pub mod record;
 pub mod sum;
 pub mod tally;
@@ -22,19 +22,19 @@
 #[cfg(test)]
 mod tests;
 
-/// How a call ended, as its entry answered it.
+/// Outcome of a call, as its entry node answered it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Ran, and its whole answer went out. Charged.
+    /// It ran, and its complete answer went out. Charged.
     Served,
-    /// Ran, and the upstream's whole answer is a server error.
+    /// It ran, and the upstream's complete answer is a server error.
     Failed,
-    /// Not run: refused at some point before.
+    /// It did not run: it was refused before.
     Refused,
-    /// May have run, or its answer was cut short.
+    /// It may have run, or its answer was cut short.
     Unknown,
-    /// The caller left before the answer; counts for no objective.
+    /// The caller disconnected before the answer; it counts for no objective.
     Left,
 }
 
@@ -43,7 +43,7 @@
     [Outcome::Served, Outcome::Failed, Outcome::Refused, Outcome::Unknown, Outcome::Left];
 
 impl Outcome {
-    /// The outcome's name in reports and metrics.
+    /// Name of the outcome in reports and metrics.
     pub const fn name(self) -> &'static str {
         match self {
             Outcome::Served => "served",
@@ -64,18 +64,18 @@
     pub organisation: &'a SmolStr,
     /// Kind of the call.
     pub kind: &'a SmolStr,
-    /// Worth of one call of the kind.
+    /// Weight of a call of the kind.
     pub weight: u32,
-    /// How it ended.
+    /// Outcome of the call.
     pub outcome: Outcome,
-    /// From the request's head to the answer's last byte.
+    /// Time from the request's head to the last byte of the answer.
     pub latency: time::Duration,
     /// Latency objective of the service.
     pub limit: time::Duration,
 }
 
 impl<'a> Count<'a> {
-    /// The count of a call of `kind`, a key of `mesh`.
+    /// The count of a call of `kind`, which is a key of `mesh`.
     pub fn new(
         mesh: &'a mesh::Mesh,
         kind: mesh::KindKey,
@@ -96,9 +96,9 @@
     }
 }
 
-/// What a row of counts is about.
+/// Label of a row of counts.
 ///
-/// The weight is part of it: a configuration that changes a weight begins a new row.
+/// The weight is part of it, so that a configuration that changes a weight starts a new row.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Label {
     /// Organisation that is charged.
@@ -107,7 +107,7 @@
     pub service: SmolStr,
     /// Kind of the calls.
     pub kind: SmolStr,
-    /// Worth of one call of the kind.
+    /// Weight of a call of the kind.
     pub weight: u32,
 }
 
@@ -118,19 +118,20 @@
     pub calls: [u64; OUTCOMES.len()],
     /// Served calls that took longer than the service's latency objective.
     pub slow: u64,
-    /// Served calls by latency: below 2^n times [`tally::FIRST_BOUND`], the last one unbounded.
+    /// Served calls by latency: bucket n counts those below 2^n times [`tally::FIRST_BOUND`] and
+    /// not below the bound before; the last bucket has no upper bound.
     pub latencies: [u64; tally::BUCKETS],
     /// Sum of the latencies of served calls, in microseconds.
     pub micros: u64,
 }
 
 impl Totals {
-    /// Calls that ended with `outcome`.
+    /// Number of calls with `outcome`.
     pub const fn of(&self, outcome: Outcome) -> u64 {
         self.calls[outcome as usize]
     }
 
-    /// Adds the counts of `other`; saturates.
+    /// Adds the counts of `other`, saturating.
     pub fn add(&mut self, other: &Totals) {
         for (mine, theirs) in self.calls.iter_mut().zip(&other.calls) {
             *mine = mine.saturating_add(*theirs);
@@ -143,7 +144,7 @@
     }
 }
 
-/// What was counted since the last delta. Each row has its own label.
+/// Counts since the last delta. No two rows have the same label.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Delta {
     /// Rows with at least one call.
--- a/src/usage/record.rs
+++ b/src/usage/record.rs
@@ -9,32 +9,32 @@
 /// First byte of every record of the stream.
 const FORMAT: u8 = 1;
 
-/// Names a total: of all totals with one name, one counts.
+/// Identifies a total; of all totals with the same id, one counts.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct TotalId {
     /// The node that counted.
     pub host: host::HostId,
-    /// A number drawn by the process when it started.
+    /// Random number that the process chose when it started.
     pub incarnation: u64,
-    /// Number of the total in that life, from 1.
+    /// Number of the total in that process, from 1.
     pub sequence: u64,
 }
 
-/// Calls served whole.
+/// Number of served calls with one label.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Row {
-    /// What was served.
+    /// Label of the calls.
     pub label: usage::Label,
-    /// How often.
+    /// Number of calls that were answered completely.
     pub served: u64,
 }
 
-/// What one node counted over some time.
+/// Usage that one node counted since its previous total.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Total {
-    /// Its name.
+    /// Its id.
     pub id: TotalId,
-    /// When the counting ended, in milliseconds since the Unix epoch by the node's clock.
+    /// End of the counted time, in milliseconds since the Unix epoch by the node's clock.
     pub until_unix_ms: u64,
     /// The counts; each label once.
     pub rows: Vec<Row>,
@@ -43,32 +43,32 @@
 /// Why a record can't be read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// It begins with another format number.
-    #[error("a record of another format")]
+    /// Its first byte is another format number.
+    #[error("the record has an unknown format")]
     Format,
     /// It does not decode.
-    #[error("a malformed record")]
+    #[error("the record is malformed")]
     Malformed,
 }
 
-/// The bytes of one total, as nodes send it to a writer.
+/// Encodes one total, as nodes send it to a writer.
 pub fn encode(total: &Total) -> Bytes {
-    // Writing to a vector can't fail; empty bytes are refused by every reader.
+    // Writing to a vector can't fail; every reader refuses empty bytes.
     postcard::to_stdvec(total).map(Bytes::from).unwrap_or_default()
 }
 
-/// The total of `bytes`, if they are one.
+/// Decodes one total; `None` when `bytes` are malformed.
 pub fn decode(bytes: &[u8]) -> Option<Total> {
     let (total, rest) = postcard::take_from_bytes(bytes).ok()?;
     rest.is_empty().then_some(total)
 }
 
-/// The record of many totals, each as [`encode`] made it.
+/// Encodes a record of many totals, each encoded by [`encode`].
 pub fn join(totals: &[Bytes]) -> Bytes {
     postcard::to_extend(totals, vec![FORMAT]).map(Bytes::from).unwrap_or_default()
 }
 
-/// The totals of a record.
+/// Decodes the totals of a record.
 ///
 /// # Errors
 ///
--- a/src/usage/sum.rs
+++ b/src/usage/sum.rs
@@ -1,4 +1,4 @@
-//! Charges by organisation, kind and period, from the `usage` stream.
+//! Adds up the `usage` stream to charges by organisation, kind and period.
 
 use std::collections;
 
@@ -8,10 +8,10 @@
 use crate::logs;
 use crate::usage::record;
 
-/// What was served to a period.
+/// Charge for the calls of one organisation, service, kind and weight in one period.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Charge {
-    /// When the period began, in milliseconds since the Unix epoch.
+    /// Start of the period, in milliseconds since the Unix epoch.
     pub since_unix_ms: u64,
     /// Organisation that is charged.
     pub organisation: SmolStr,
@@ -19,11 +19,11 @@
     pub service: SmolStr,
     /// Kind of the calls.
     pub kind: SmolStr,
-    /// Worth of one call.
+    /// Weight of one call.
     pub weight: u32,
-    /// Calls served whole.
+    /// Number of calls that were answered completely.
     pub served: u64,
-    /// Worth of all of them.
+    /// Number of calls times the weight.
     pub charge: u64,
 }
 
@@ -33,14 +33,14 @@
     period_ms: u64,
     seen: collections::HashSet<record::TotalId>,
     counts: collections::BTreeMap<(u64, crate::usage::Label), u64>,
-    /// Totals that were there more than once.
+    /// Number of repeated totals.
     repeats: u64,
-    /// Records that could not be read.
+    /// Number of records that did not decode.
     unreadable: u64,
 }
 
 impl Sum {
-    /// A sum by periods of `period_ms` milliseconds, at least 1.
+    /// An empty sum by periods of `period_ms` milliseconds, at least 1.
     pub fn new(period_ms: u64) -> Self {
         Self { period_ms: period_ms.max(1), ..Self::default() }
     }
@@ -64,17 +64,17 @@
         }
     }
 
-    /// Totals that were there more than once and counted once.
+    /// Number of repeated totals, which were not counted again.
     pub const fn repeats(&self) -> u64 {
         self.repeats
     }
 
-    /// Records that could not be read.
+    /// Number of records that did not decode.
     pub const fn unreadable(&self) -> u64 {
         self.unreadable
     }
 
-    /// The charges, by period, organisation, service and kind.
+    /// The charges, sorted by period, organisation, service, kind and weight.
     pub fn charges(&self) -> Vec<Charge> {
         let charge = |((since, label), served): (&(u64, crate::usage::Label), &u64)| Charge {
             since_unix_ms: *since,
--- a/src/usage/tally.rs
+++ b/src/usage/tally.rs
@@ -1,4 +1,4 @@
-//! Counting on the call path.
+//! Usage counters of the call path.
 
 use std::collections;
 use std::time;
@@ -12,10 +12,10 @@
 /// Upper bound of the first latency bucket; each further bound is twice the one before.
 pub const FIRST_BOUND: time::Duration = time::Duration::from_micros(256);
 
-/// Counts that the call thread has made and not yet handed over.
+/// Usage counts of the calls duty that have not been sent to the other duties yet.
 ///
-/// Recording allocates only for a label it has not seen before. Rows that counted nothing between
-/// two deltas are dropped, so labels of past configurations don't stay.
+/// Recording allocates memory only for new labels. Rows without calls between two deltas are
+/// dropped, so that labels of past configurations do not accumulate.
 #[derive(Debug, Default)]
 pub struct Tally {
     rows: collections::HashMap<usage::Label, usage::Totals>,
@@ -27,7 +27,7 @@
         Self::default()
     }
 
-    /// Counts one call.
+    /// Records one call.
     pub fn record(&mut self, count: &usage::Count<'_>) {
         let label = usage::Label {
             organisation: count.organisation.clone(),
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Hands everything counted to `ring`. When the ring is full the counts stay here and are
-    /// part of the next delta; nothing is lost and nothing counts twice.
+    /// Sends all counts to `ring` and resets them. When the ring is full, the counts stay here and
+    /// become part of the next delta, so that none is lost or counted twice.
     pub fn flush(&mut self, ring: &ring::Sender<usage::Delta>) {
         self.rows.retain(|_, totals| totals.calls.iter().any(|&c| c > 0));
         if self.rows.is_empty() {
--- a/src/usage/tests.rs
+++ b/src/usage/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of counting.
+//! Tests of counting, sending and adding up usage.
 
 use std::time;
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_full_ring_loses_and_doubles_nothing() {
+fn a_full_ring_neither_loses_nor_repeats_counts() {
     let (sender, mut receiver) = ring::bounded(1);
     let mut tally = usage::Tally::new();
     for outcome in usage::OUTCOMES {
@@ -40,7 +40,7 @@
     while let Ok(delta) = receiver.try_recv() {
         delta.rows.iter().for_each(|(_, totals)| got.add(totals));
         deltas += 1;
-        assert!(deltas <= 2, "the same counts are handed over again and again");
+        assert!(deltas <= 2, "the same counts are sent again");
         tally.flush(&sender);
     }
     assert_eq!(deltas, 2);
@@ -67,7 +67,7 @@
 #[case(511, 1)]
 #[case(512, 2)]
 #[case(u64::MAX, tally::BUCKETS - 1)]
-fn buckets_double(#[case] micros: u64, #[case] bucket: usize) {
+fn the_bounds_of_latency_buckets_double(#[case] micros: u64, #[case] bucket: usize) {
     assert_eq!(tally::bucket(time::Duration::from_micros(micros)), bucket);
 }
 
@@ -77,9 +77,9 @@
     clock::Instant::from_millis(millis)
 }
 
-/// An outbox that has counted one call in each of `totals` spans, all of which stood in the log, and what it
-/// sent.
-fn stood(totals: u64) -> (outbox::Outbox, Vec<outbox::Send>) {
+/// An outbox that has sent `totals` totals of one call each, all of them confirmed, and those
+/// totals.
+fn confirmed(totals: u64) -> (outbox::Outbox, Vec<outbox::Send>) {
     let host = host::HostId::new(([10, 0, 0, 1], 7380).into());
     let mut outbox = outbox::Outbox::new(host, 7, FLUSH, at(0));
     let mut sent = Vec::new();
@@ -90,26 +90,27 @@
         tally.flush(&sender);
         outbox.add(&receiver.try_recv().expect("a delta"));
         let send = outbox.poll(at(n * 10_000), n * 10_000, false).expect("a total");
-        outbox.stands(send.sequence, at(n * 10_000));
+        outbox.confirm(send.sequence, at(n * 10_000));
         sent.push(send);
     }
     (outbox, sent)
 }
 
-/// Guards against calls that nobody is charged for, since their count went with what the log has lost.
+/// Guards against served calls that are never charged because the log lost the totals that counted
+/// them.
 #[test]
-fn totals_that_stood_lately_are_sent_again_once_the_log_came_back_older() {
-    let (mut outbox, sent) = stood(9);
+fn totals_confirmed_lately_are_sent_again_after_the_log_was_restored() {
+    let (mut outbox, sent) = confirmed(9);
     assert!(outbox.is_empty());
     outbox.restored(at(91_000));
     assert!(!outbox.is_empty());
     assert!(outbox.wake() <= at(91_000));
     let mut again = Vec::new();
     while let Some(send) = outbox.poll(at(91_000), 91_000, false) {
-        outbox.stands(send.sequence, at(91_000));
+        outbox.confirm(send.sequence, at(91_000));
         again.push(send);
     }
-    assert_eq!(again, sent[3..], "those of the last minute, under their names");
+    assert_eq!(again, sent[3..], "those of the last minute, with their ids");
     assert!(outbox.is_empty());
     let mut sum = sum::Sum::new(1);
     let records = sent.iter().chain(&again);
@@ -121,14 +122,14 @@
 }
 
 #[test]
-fn totals_are_sent_again_after_each_return_of_the_log() {
-    let (mut outbox, sent) = stood(1);
+fn totals_are_sent_again_after_each_restoration_of_the_log() {
+    let (mut outbox, sent) = confirmed(1);
     for round in 1..=3 {
         outbox.restored(at(10_000 + round));
         let send = outbox.poll(at(10_000 + round), 0, false).expect("it is sent again");
         assert_eq!(send, sent[0]);
-        outbox.stands(send.sequence, at(10_000 + round));
+        outbox.confirm(send.sequence, at(10_000 + round));
     }
     outbox.restored(at(200_000));
-    assert_eq!(outbox.poll(at(10_003), 0, false), None, "every copy has it by now");
+    assert_eq!(outbox.poll(at(10_003), 0, false), None, "every copy of the log has it by now");
 }
