--- a/src/claim/event.rs
+++ b/src/claim/event.rs
@@ -88,6 +88,6 @@
     Answer(Token, Answer),
     /// Append this record to the stream.
     Append(AppendId, bytes::Bytes),
-    /// Read from the stream; at most one read is under way at a time.
+    /// Read from the stream; there is at most one read at a time.
     Read(follow::Read),
 }
--- a/src/claim/registry.rs
+++ b/src/claim/registry.rs
@@ -114,7 +114,7 @@
         });
     }
 
-    /// Takes the end of an append.
+    /// Passes the outcome of an append to its writer.
     pub fn appended(
         &mut self,
         (partition, generation): (u16, u64),
@@ -125,7 +125,7 @@
         self.deliver((partition, generation), Event::Appended { id, outcome }, now)
     }
 
-    /// Takes the end of a read.
+    /// Passes the result of a read to its writer.
     pub fn read(
         &mut self,
         (partition, generation): (u16, u64),
--- a/src/claim/tests/writer.rs
+++ b/src/claim/tests/writer.rs
@@ -201,10 +201,10 @@
 fn a_writer_that_has_not_read_its_stream_does_not_wake_at_once() {
     let mut writer = Writer::new(LIMITS);
     writer.handle(request(1, entry(Op::Claim, 1, 1), 9000), at(100));
-    let wake = writer.wake().expect("a deadline to look at");
+    let wake = writer.wake().expect("a deadline to check");
     assert!(wake > at(100), "{wake:?}");
     writer.handle(Event::Tick, wake);
-    assert!(writer.wake().expect("a deadline to look at") > wake);
+    assert!(writer.wake().expect("a deadline to check") > wake);
 }
 
 /// Lets the writer find its start in the stream of `epoch`, which holds `bodies`, and read to the
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,11 +1,11 @@
-//! Monotonic time as the decisions see it.
+//! Monotonic time, from a clock that tests can replace.
 
 use std::ops;
 use std::time;
 
 /// A point in monotonic time, in microseconds since an arbitrary origin.
 ///
-/// Decisions compare instants of one process only. Tests make their own.
+/// Only instants of the same process can be compared.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Instant(u64);
 
@@ -45,10 +45,10 @@
 
 /// A source of time.
 pub trait Clock {
-    /// The current instant; never goes back.
+    /// The current instant; it never decreases.
     fn now(&self) -> Instant;
 
-    /// Wall-clock milliseconds since the Unix epoch; may step.
+    /// Wall-clock time in milliseconds since the Unix epoch; it may step back or forward.
     fn unix_millis(&self) -> u64;
 }
 
@@ -59,7 +59,7 @@
 }
 
 impl System {
-    /// A clock whose origin is the moment of this call.
+    /// A clock whose origin is the time of this call.
     pub fn new() -> Self {
         Self { origin: since_boot() }
     }
@@ -82,8 +82,8 @@
     }
 }
 
-/// Time since the host started, the time for which it was suspended included: a deadline, a lease
-/// or the age of news that outlived a suspension must not look fresh.
+/// Time since the host booted, including the time it was suspended: after a suspension, a deadline,
+/// a lease or the age of an update must not appear more recent than it is.
 fn since_boot() -> time::Duration {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     let seconds = u64::try_from(now.tv_sec).unwrap_or_default();
--- a/src/context.rs
+++ b/src/context.rs
@@ -1,4 +1,4 @@
-//! The environment a process runs in, as one value that tests can swap.
+//! Clock and randomness of a process, as one value that tests can replace.
 
 use crate::clock;
 
@@ -7,7 +7,7 @@
 pub struct Context<C = clock::System> {
     /// Source of time.
     pub clock: C,
-    /// Seed from which every duty derives its random numbers.
+    /// Seed from which every duty derives its own seed.
     pub seed: u64,
 }
 
@@ -24,7 +24,7 @@
         self.clock.now()
     }
 
-    /// A seed of its own for the duty called `duty`, the same for the same [`Context::seed`].
+    /// The seed of the duty named `duty`. It depends only on that name and on [`Context::seed`].
     pub fn seed_for(&self, duty: &str) -> u64 {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&self.seed.to_le_bytes());
--- a/src/logs/connection.rs
+++ b/src/logs/connection.rs
@@ -1,4 +1,4 @@
-//! Kept-alive connections to the log service, with their bytes counted.
+//! Persistent connections to the log service, with their bytes counted.
 
 use std::io;
 use std::net;
@@ -17,29 +17,29 @@
 use crate::socket;
 use crate::traffic;
 
-/// Idle connections kept for later requests.
-const IDLE: usize = 8;
+/// Limit on idle connections kept for later requests.
+const MAX_IDLE: usize = 8;
 
 /// Sends requests over one connection.
 pub type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// Why no connection could be made; nothing was sent.
+/// Why no connection could be made. Nothing was sent.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The address does not answer.
-    #[error("the connection was not made")]
+    /// Connecting to the address failed.
+    #[error("the connection could not be made")]
     Connect(#[from] io::Error),
-    /// The HTTP layer did not start.
-    #[error("the HTTP connection did not start")]
+    /// The HTTP handshake failed.
+    #[error("the HTTP handshake failed")]
     Handshake(#[from] hyper::Error),
 }
 
 /// Connections to one address. They belong to the tokio runtime that made them, so every thread
-/// with a runtime of its own has a pool of its own.
+/// with its own runtime has its own pool.
 #[derive(Debug)]
 pub struct Pool {
     address: net::SocketAddr,
-    /// Ready for another request, at most [`IDLE`]; the last one used comes last.
+    /// Idle connections, at most [`MAX_IDLE`]; the most recently used one is last.
     idle: Mutex<Vec<Sender>>,
     traffic: Arc<traffic::Traffic>,
 }
@@ -79,16 +79,16 @@
         Ok(sender)
     }
 
-    /// Keeps `sender`, whose last answer was read whole.
-    pub fn keep(&self, sender: Sender) {
+    /// Returns `sender` to the pool, after its last answer was read completely.
+    pub fn release(&self, sender: Sender) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        if idle.len() < IDLE && !sender.is_closed() {
+        if idle.len() < MAX_IDLE && !sender.is_closed() {
             idle.push(sender);
         }
     }
 
     /// Counts one request.
-    pub fn count(&self) {
+    pub fn count_request(&self) {
         let counts = self.traffic.of(traffic::Purpose::Log);
         counts.messages.fetch_add(1, atomic::Ordering::Relaxed);
     }
--- a/src/logs/http.rs
+++ b/src/logs/http.rs
@@ -1,4 +1,4 @@
-//! The log service over HTTP/1.1. `docs/LOG-PROTOCOL.md` describes the protocol.
+//! Client of the log service over HTTP/1.1. `docs/LOG-PROTOCOL.md` describes the protocol.
 
 use std::sync::Arc;
 use std::time;
@@ -12,44 +12,44 @@
 use crate::logs::{self, connection, wire};
 use crate::traffic;
 
-/// Largest batch accepted, in bytes.
-const BATCH_BYTES: usize = 16 << 20;
+/// Limit on the body of an answer, in bytes.
+const MAX_BATCH_BYTES: usize = 16 << 20;
 
-/// What went wrong with a request to the log service.
+/// Why a request to the log service failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No connection; nothing was sent.
+    /// No connection could be made; nothing was sent.
     #[error("the log service can't be reached")]
     Connect(#[from] connection::Error),
-    /// No connection in time; nothing was sent.
+    /// No connection was made in time; nothing was sent.
     #[error("the log service did not accept a connection in time")]
     ConnectTimeout,
-    /// Sent, and then no answer in time.
+    /// The request was sent, but not answered in time.
     #[error("the log service did not answer in time")]
     AnswerTimeout,
-    /// Sent, and then the connection failed.
+    /// The request was sent, and then the connection failed.
     #[error("the connection to the log service was lost")]
     Lost(#[source] hyper::Error),
-    /// The answer broke off or is too large.
-    #[error("the answer of the log service is not whole")]
+    /// The answer is truncated or too large.
+    #[error("the answer of the log service is truncated or too large")]
     Answer(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The answer lacks a header or it is not a number.
+    /// A header of the answer is missing or not a number.
     #[error("the answer of the log service has no valid {0} header")]
     Header(&'static str),
     /// The batch does not decode.
     #[error("the log service sent a malformed batch")]
     Batch(#[from] wire::Error),
-    /// Too many requests; nothing was appended.
+    /// The service refused the request because of its load; nothing was appended.
     #[error("the log service is busy")]
     Busy {
-        /// How long to wait, if the service said.
+        /// The Retry-After header, if the service sent one.
         retry_after: Option<time::Duration>,
     },
-    /// Another status.
+    /// The service answered with another status.
     #[error("the log service answered with status {0}")]
     Status(StatusCode),
     /// The name of the stream can't be part of a URL.
-    #[error("the name of the stream can't be used")]
+    #[error("the name of the stream can't be part of a URL")]
     Stream(#[from] http::Error),
 }
 
@@ -71,11 +71,11 @@
 #[derive(Clone, Debug)]
 pub struct Client {
     pool: Arc<connection::Pool>,
-    /// Longest a request may take, its wait for a record not counted.
+    /// How long a request may take, without the time it waits for a record.
     timeout: time::Duration,
 }
 
-/// An answer read whole.
+/// An answer that was read completely.
 #[derive(Debug)]
 pub struct Answer {
     /// Status and headers.
@@ -85,32 +85,34 @@
 }
 
 impl Client {
-    /// A client with `settings` whose bytes count into `traffic`. Connects when it is first used.
+    /// A client with `settings` that counts its bytes in `traffic`. It connects when it is first
+    /// used.
     pub fn new(settings: &configs::log::Log, traffic: Arc<traffic::Traffic>) -> Self {
         let pool = Arc::new(connection::Pool::new(settings.address, traffic));
         Self { pool, timeout: time::Duration::from_millis(settings.append_ms) }
     }
 
-    /// Sends `request` and reads its answer within `limit`, on a kept connection if one is idle.
+    /// Sends `request` and reads its answer within `timeout`, on an idle connection if there is
+    /// one.
     ///
     /// # Errors
     ///
-    /// Whatever kept the answer away, whole or in part.
+    /// No complete answer was received.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
-        limit: time::Duration,
+        timeout: time::Duration,
     ) -> Result<Answer, Error> {
         let mut request = request;
         if let Some(sender) = self.pool.reuse().await {
-            match self.send(sender, request, limit).await? {
+            match self.send(sender, request, timeout).await? {
                 Sent::Answered(answer) => return Ok(answer),
                 Sent::Unsent(returned, _) => request = returned,
             }
         }
         let connect = tokio::time::timeout(self.timeout, self.pool.connect());
         let sender = connect.await.map_err(|_| Error::ConnectTimeout)??;
-        match self.send(sender, request, limit).await? {
+        match self.send(sender, request, timeout).await? {
             Sent::Answered(answer) => Ok(answer),
             Sent::Unsent(_, error) => Err(connection::Error::from(error).into()),
         }
@@ -120,9 +122,9 @@
         &self,
         mut sender: connection::Sender,
         request: Request<Full<Bytes>>,
-        limit: time::Duration,
+        timeout: time::Duration,
     ) -> Result<Sent, Error> {
-        self.pool.count();
+        self.pool.count_request();
         let exchange = async {
             let response = match sender.try_send_request(request).await {
                 Ok(response) => response,
@@ -135,31 +137,31 @@
             };
             Ok(Sent::Answered(read(response).await?))
         };
-        let sent = tokio::time::timeout(limit, exchange).await;
+        let sent = tokio::time::timeout(timeout, exchange).await;
         let sent = sent.map_err(|_| Error::AnswerTimeout)??;
         if matches!(sent, Sent::Answered(_)) {
-            self.pool.keep(sender);
+            self.pool.release(sender);
         }
         Ok(sent)
     }
 
-    /// Longest a request may take, its wait for a record not counted.
+    /// How long a request may take, without the time it waits for a record.
     pub const fn timeout(&self) -> time::Duration {
         self.timeout
     }
 
-    /// A request to the service, which gives the connection its name.
+    /// Starts a request to the service, with its address as the Host header.
     pub fn request(&self, method: http::Method, path: &str) -> http::request::Builder {
         let host = self.pool.address().to_string();
         Request::builder().method(method).uri(path).header(header::HOST, host)
     }
 }
 
-/// What became of a request.
+/// Outcome of sending a request.
 enum Sent {
     /// The service answered.
     Answered(Answer),
-    /// No byte of the request was sent, because the connection had been closed.
+    /// No byte of the request was sent, because the connection was closed.
     Unsent(Request<Full<Bytes>>, hyper::Error),
 }
 
@@ -178,11 +180,11 @@
         &self,
         stream: &str,
         from: logs::Offset,
-        most: u32,
+        max: u32,
         wait: time::Duration,
     ) -> Result<logs::Batch, Error> {
         let wait_ms = wait.as_millis();
-        let path = format!("/streams/{stream}?from={from}&most={most}&wait_ms={wait_ms}");
+        let path = format!("/streams/{stream}?from={from}&most={max}&wait_ms={wait_ms}");
         let request = self.request(http::Method::GET, &path).body(Full::default())?;
         let answer = self.call(request, wait.saturating_add(self.timeout)).await?;
         answer.check()?;
@@ -202,18 +204,18 @@
         }
     }
 
-    /// How long the service asks to wait.
+    /// Value of the Retry-After header.
     pub fn retry_after(&self) -> Option<time::Duration> {
         let value = self.head.headers.get(header::RETRY_AFTER)?;
         let seconds = value.to_str().ok()?.parse().ok()?;
         Some(time::Duration::from_secs(seconds))
     }
 
-    /// The epoch that the header `name` tells; 0 when there is none.
+    /// The epoch in the header `name`; 0 without that header.
     ///
     /// # Errors
     ///
-    /// The header holds something else.
+    /// The header is not a number.
     pub fn epoch(&self, name: &'static str) -> Result<logs::Epoch, Error> {
         if self.head.headers.contains_key(name) { self.number(name) } else { Ok(0) }
     }
@@ -226,6 +228,6 @@
 
 async fn read(response: http::Response<body::Incoming>) -> Result<Answer, Error> {
     let (head, body) = response.into_parts();
-    let collected = Limited::new(body, BATCH_BYTES).collect().await.map_err(Error::Answer)?;
+    let collected = Limited::new(body, MAX_BATCH_BYTES).collect().await.map_err(Error::Answer)?;
     Ok(Answer { head, body: collected.to_bytes() })
 }
--- a/src/logs/mod.rs
+++ b/src/logs/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's log service at the border.
+//! Access to the platform's log service.
 
 use std::error;
 use std::future;
@@ -11,18 +11,19 @@
 pub mod reachability;
 pub mod wire;
 
-/// Place of a record in its stream; the first record has offset 0.
+/// Position of a record in its stream; the first record has offset 0.
 pub type Offset = u64;
 
-/// How often the service has come back from an older copy of its streams, which then lack the records
-/// appended since that copy was made: their offsets are given out again. It never falls.
+/// Number of times the service was restored from an older copy of its streams. The records
+/// appended after that copy was made are then lost, and their offsets are assigned again. It never
+/// decreases.
 pub type Epoch = u64;
 
-/// Bits of an [`ordinal`] that hold the place in its stream.
+/// Number of bits of an [`ordinal`] that hold the offset.
 const OFFSET_BITS: u32 = 40;
 
-/// A number for the record at `offset` that is higher than that of every record read before it, also of
-/// earlier epochs.
+/// A number for the record at `offset` that is higher than those of all records before it,
+/// including records of earlier epochs.
 pub const fn ordinal(epoch: Epoch, offset: Offset) -> u64 {
     epoch << OFFSET_BITS | (offset + 1)
 }
@@ -37,13 +38,13 @@
     ordinal & ((1 << OFFSET_BITS) - 1)
 }
 
-/// Names of the streams the system keeps.
+/// Names of the streams in use.
 pub mod streams {
     /// Published configurations and snapshots.
     pub const CONFIG: &str = "config";
     /// Claims of idempotency keys; a partition number follows.
     pub const CLAIMS: &str = "claims";
-    /// What became of roll-outs.
+    /// Results of roll-outs.
     pub const ROLLOUTS: &str = "rollouts";
     /// Usage counts.
     pub const USAGE: &str = "usage";
@@ -52,38 +53,39 @@
 /// One record of a stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Record {
-    /// Its place.
+    /// Its position in the stream.
     pub offset: Offset,
     /// Wall-clock time of its append by the service's clock, in milliseconds since the Unix epoch.
     pub unix_millis: u64,
-    /// What was appended.
+    /// The appended bytes.
     pub body: Bytes,
 }
 
-/// What a read gave.
+/// Result of a read.
 ///
-/// Invariant: offsets of `records` rise and lie in `first..next`.
+/// Invariant: the offsets of `records` increase and lie in `first..next`.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Batch {
     /// Epoch of the offsets.
     pub epoch: Epoch,
-    /// Oldest offset still kept; records before it have expired.
+    /// Oldest retained offset; records before it have expired.
     pub first: Offset,
     /// Offset the next append will get.
     pub next: Offset,
-    /// Records from the requested offset on; empty when none came in time.
+    /// Records from the requested offset on; empty when there was none in time.
     pub records: Vec<Record>,
 }
 
-/// How a failed operation stands.
+/// Error of an operation on the log.
 pub trait Failure: error::Error + Send + Sync + 'static {
-    /// Whether the operation may have taken effect although its answer was lost.
+    /// Whether the operation may have taken effect despite the error, for example because only its
+    /// answer was lost.
     fn uncertain(&self) -> bool;
 }
 
-/// An append-only log with offsets. The service is the platform's; this is all we use of it.
+/// An append-only log with offsets, as provided by the platform; these are the operations in use.
 pub trait Service: Clone + Send + Sync + 'static {
-    /// What can go wrong.
+    /// Error of the operations.
     type Error: Failure;
 
     /// Appends `body` to `stream` and returns its offset.
@@ -93,13 +95,13 @@
         body: Bytes,
     ) -> impl future::Future<Output = Result<Offset, Self::Error>> + Send;
 
-    /// Reads up to `most` records of `stream` from `from` on; when there is none yet, waits for
-    /// one up to `wait`. Records before the oldest kept one are skipped.
+    /// Reads up to `max` records of `stream` from offset `from` on. If there is none yet, waits up
+    /// to `wait` for one. Offsets of expired records are skipped.
     fn read(
         &self,
         stream: &str,
         from: Offset,
-        most: u32,
+        max: u32,
         wait: time::Duration,
     ) -> impl future::Future<Output = Result<Batch, Self::Error>> + Send;
 }
--- a/src/logs/reachability.rs
+++ b/src/logs/reachability.rs
@@ -1,4 +1,4 @@
-//! Whether the log service answers, as seen by those of this process that use it.
+//! Reachability of the log service, as observed by the requests of this process.
 
 use std::future;
 use std::sync::Arc;
@@ -15,10 +15,10 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "state")]
 pub enum Reachability {
-    /// This process has not asked it yet.
+    /// This process has sent no request yet.
     #[default]
     Unasked,
-    /// Its last answer was a success.
+    /// The last request succeeded.
     Answers {
         /// Since when, in milliseconds since the Unix epoch.
         since_unix_ms: u64,
@@ -31,7 +31,7 @@
 }
 
 impl Reachability {
-    /// What holds after a request that ended at `unix_ms`, with success or not.
+    /// The state after a request that finished at `unix_ms`.
     pub const fn after(self, success: bool, unix_ms: u64) -> Self {
         match (self, success) {
             (Reachability::Answers { .. }, true) | (Reachability::Fails { .. }, false) => self,
@@ -41,28 +41,32 @@
     }
 }
 
-/// A log service whose reachability is watched.
+/// A log service whose reachability is observed.
 #[derive(Clone, Debug)]
 pub struct Watched<S> {
     inner: S,
     clock: clock::System,
-    reach: Arc<watch::Sender<Reachability>>,
+    reachability: Arc<watch::Sender<Reachability>>,
 }
 
 impl<S> Watched<S> {
-    /// Watches `inner` and tells `reach`.
-    pub fn new(inner: S, clock: clock::System, reach: Arc<watch::Sender<Reachability>>) -> Self {
-        Self { inner, clock, reach }
+    /// Wraps `inner` and records its reachability in `reachability`.
+    pub fn new(
+        inner: S,
+        clock: clock::System,
+        reachability: Arc<watch::Sender<Reachability>>,
+    ) -> Self {
+        Self { inner, clock, reachability }
     }
 
-    fn note(&self, success: bool) {
+    fn record(&self, success: bool) {
         let unix_ms = self.clock.unix_millis();
-        self.reach.send_if_modified(|reach| {
-            let after = reach.after(success, unix_ms);
-            let changed = after != *reach;
-            *reach = after;
+        self.reachability.send_if_modified(|reachability| {
+            let after = reachability.after(success, unix_ms);
+            let changed = after != *reachability;
+            *reachability = after;
             if changed {
-                log::info!(reachable = success; "the log service has changed");
+                log::info!(reachable = success; "the reachability of the log service changed");
             }
             changed
         });
@@ -80,7 +84,7 @@
         let sent = self.inner.append(stream, body);
         async {
             let result = sent.await;
-            self.note(result.is_ok());
+            self.record(result.is_ok());
             result
         }
     }
@@ -89,13 +93,13 @@
         &self,
         stream: &str,
         from: logs::Offset,
-        most: u32,
+        max: u32,
         wait: time::Duration,
     ) -> impl future::Future<Output = Result<logs::Batch, Self::Error>> + Send {
-        let sent = self.inner.read(stream, from, most, wait);
+        let sent = self.inner.read(stream, from, max, wait);
         async {
             let result = sent.await;
-            self.note(result.is_ok());
+            self.record(result.is_ok());
             result
         }
     }
--- a/src/logs/wire.rs
+++ b/src/logs/wire.rs
@@ -1,22 +1,22 @@
-//! Bodies and headers of the log service's HTTP answers.
+//! Encoding of the log service's HTTP answers.
 //!
 //! A batch is a sequence of records, each of them offset (8 bytes), append time (8 bytes), body
-//! length (4 bytes) and body; integers are big-endian. The bounds of the stream travel as headers.
+//! length (4 bytes) and body; integers are big-endian. The bounds of the stream are headers.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
 use crate::logs;
 
-/// Header with the oldest offset still kept.
+/// Header with the oldest retained offset.
 pub const FIRST_HEADER: &str = "log-first";
 
-/// Header with the offset the next append will get.
+/// Header with the offset that the next append will get.
 pub const NEXT_HEADER: &str = "log-next";
 
-/// Header with the epoch of the answer's offsets; an answer without it is of epoch 0.
+/// Header with the epoch of the offsets in the answer; without it, the epoch is 0.
 pub const EPOCH_HEADER: &str = "log-epoch";
 
-/// Header with the offset an append got.
+/// Header with the offset of the appended record.
 pub const OFFSET_HEADER: &str = "log-offset";
 
 /// Bytes before each record's body.
@@ -28,17 +28,17 @@
     /// The bytes end within a record.
     #[error("the batch ends within a record")]
     Truncated,
-    /// Offsets do not rise, or lie outside the stream's bounds.
+    /// Offsets do not increase, or lie outside the bounds of the stream.
     #[error("offset {0} is out of order or out of bounds")]
     Disordered(logs::Offset),
 }
 
-/// Bytes `record` takes in a batch.
+/// Number of bytes that `record` takes in a batch.
 pub const fn encoded_len(record: &logs::Record) -> usize {
     PREFIX_BYTES + record.body.len()
 }
 
-/// Encodes `records`, whose bodies are shorter than 4 GiB.
+/// Encodes `records` as a batch; their bodies must be shorter than 4 GiB.
 pub fn encode(records: &[logs::Record]) -> Bytes {
     let length = records.iter().map(encoded_len).sum();
     let mut out = BytesMut::with_capacity(length);
@@ -51,7 +51,7 @@
     out.freeze()
 }
 
-/// Decodes the records of a batch of a stream that keeps offsets `first..next` of epoch 0.
+/// Decodes a batch of a stream that retains the offsets `first..next`; the epoch is set to 0.
 pub fn decode(first: logs::Offset, next: logs::Offset, body: Bytes) -> Result<logs::Batch, Error> {
     let mut rest = body;
     let mut records = Vec::new();
--- a/src/node/duty.rs
+++ b/src/node/duty.rs
@@ -1,4 +1,5 @@
-//! Threads of a node: one for each duty, each with a runtime of its own.
+//! Duties of a node. A duty is a part of the node's work, such as membership or calls, that runs on
+//! a thread with its own runtime.
 
 use std::future;
 use std::io;
@@ -7,23 +8,23 @@
 use tokio::runtime;
 use tokio::task;
 
-/// Why a duty could not be started or ended badly.
+/// Why a duty could not be started or did not end normally.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The operating system gave no thread or no event queue.
+    /// Creating the thread or its runtime failed.
     #[error("can't start the duty `{name}`")]
     Start {
         /// Name of the duty.
         name: &'static str,
-        /// The operating system's answer.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The duty gave up.
+    /// The duty ended with an error.
     #[error("the duty `{name}` failed")]
     Failed {
         /// Name of the duty.
         name: &'static str,
-        /// Its failure.
+        /// The error.
         source: eyre::Report,
     },
     /// The duty's thread panicked.
@@ -42,9 +43,9 @@
 }
 
 impl Duty {
-    /// Starts a thread that runs the future made by `make` until it ends.
+    /// Starts a thread that runs the future returned by `make` until it completes.
     ///
-    /// The future is made on the new thread and need not be `Send`.
+    /// The future is created on the new thread and need not be `Send`.
     pub fn spawn<M, F, E>(name: &'static str, make: M) -> Result<Self, Error>
     where
         M: FnOnce() -> F + Send + 'static,
@@ -59,11 +60,11 @@
     }
 
     /// Whether the duty has ended.
-    pub fn ended(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.thread.is_finished()
     }
 
-    /// Waits for the duty's end, blocking the calling thread.
+    /// Waits for the end of the duty, blocking the calling thread.
     pub fn join(self) -> Result<(), Error> {
         self.thread.join().unwrap_or(Err(Error::Panicked { name: self.name }))
     }
--- a/src/node/life.rs
+++ b/src/node/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Life cycle of the process: running, draining, ended.
+//! Life cycle of the process: running, leaving, draining, ended.
 
 use std::time;
 
@@ -7,31 +7,31 @@
 use crate::clock;
 use crate::node;
 
-/// What happens to the process.
+/// An input of the life cycle.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// The process was asked to stop; a second request ends it at once.
+    /// A stop was requested; a second request ends the process at once.
     Stop,
-    /// The call path has nothing in flight and admits nothing.
+    /// No call is in flight, and no call is admitted any longer.
     Idle,
     /// Time has passed.
     Tick,
 }
 
-/// How long a planned stop may take.
+/// Durations of a planned stop.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// How long a node serves on after it was asked to stop.
+    /// How long the node keeps serving after the request to stop.
     pub serve: time::Duration,
-    /// Least time in [`node::Stage::Drain`], so that the news of the drain reaches the others.
+    /// Minimum time in [`node::Stage::Drain`], in which other nodes learn of the drain.
     pub settle: time::Duration,
-    /// Most time in [`node::Stage::Drain`]; what is still in flight then is cut.
+    /// Maximum time in [`node::Stage::Drain`]; calls still in flight then are cut.
     pub drain: time::Duration,
 }
 
-/// Decides when the process goes from one [`node::Stage`] to the next.
+/// State machine that decides when the process enters the next [`node::Stage`].
 #[derive(Debug)]
-struct Life {
+struct Lifecycle {
     limits: Limits,
     idle: bool,
 }
@@ -42,7 +42,7 @@
     context_identifier = "now",
     visibility = "pub(self)"
 )]
-impl Life {
+impl Lifecycle {
     #[state]
     fn running(&self, event: &Event, now: &mut clock::Instant) -> Outcome<State> {
         match event {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Not ready, but serving as before.
+    /// The node reports that it is not ready, but serves as before.
     #[state]
     fn leaving(
         &self,
@@ -60,10 +60,10 @@
         event: &Event,
         now: &mut clock::Instant,
     ) -> Outcome<State> {
-        let over = now.since(*since) >= self.limits.serve;
+        let expired = now.since(*since) >= self.limits.serve;
         match event {
             Event::Stop => Transition(State::ended()),
-            Event::Idle | Event::Tick if over => Transition(State::draining(*now)),
+            Event::Idle | Event::Tick if expired => Transition(State::draining(*now)),
             Event::Idle | Event::Tick => Handled,
         }
     }
@@ -78,10 +78,10 @@
         if *event == Event::Idle {
             self.idle = true;
         }
-        let spent = now.since(*since);
-        let settled = self.idle && spent >= self.limits.settle;
-        let over = spent >= self.limits.drain;
-        if settled || over || *event == Event::Stop {
+        let elapsed = now.since(*since);
+        let settled = self.idle && elapsed >= self.limits.settle;
+        let expired = elapsed >= self.limits.drain;
+        if settled || expired || *event == Event::Stop {
             return Transition(State::ended());
         }
         Handled
@@ -95,16 +95,16 @@
 
 /// The life cycle with its current state.
 pub struct Machine {
-    inner: statig::blocking::StateMachine<Life>,
+    inner: statig::blocking::StateMachine<Lifecycle>,
 }
 
 impl Machine {
-    /// A process that runs.
+    /// The life cycle of a process that has just started.
     pub fn new(limits: Limits) -> Self {
-        Self { inner: Life { limits, idle: false }.state_machine() }
+        Self { inner: Lifecycle { limits, idle: false }.state_machine() }
     }
 
-    /// Takes an event and gives the stage that holds from now on.
+    /// Handles an event and returns the current stage.
     pub fn handle(&mut self, event: Event, mut now: clock::Instant) -> node::Stage {
         self.inner.handle_with_context(&event, &mut now);
         match self.inner.state() {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! The node: threads of one process and the rings that join them.
+//! The node: the duties of one process and the channels that connect them.
 
 use std::net;
 
@@ -7,35 +7,36 @@
 use crate::view;
 
 pub mod duty;
-pub mod life;
+pub mod lifecycle;
 pub mod ports;
 pub mod shell;
 
 #[cfg(test)]
 mod tests;
 
-/// How far the process is in its life.
+/// Stage in the life cycle of the process.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Stage {
-    /// Serves.
+    /// Serves calls.
     #[default]
     Run,
-    /// A planned stop has begun: the node says that it is not ready and serves on, since callers
-    /// turn to others only once they have seen that.
+    /// A planned stop has begun: the node reports that it is not ready but keeps serving, since
+    /// callers choose other nodes only after they have seen that.
     Leave,
-    /// Refuses new work and finishes what is in flight.
+    /// Refuses new calls and finishes those in flight.
     Drain,
-    /// Every duty ends.
+    /// All duties end.
     End,
 }
 
-/// The upstream beside this node, while its announcement is renewed.
+/// The upstream beside this node. It is present while the upstream renews its announcement.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LocalUpstream {
-    /// Where it takes calls (HTTP/1.1).
+    /// Address at which it accepts calls over HTTP/1.1.
     pub address: net::SocketAddr,
-    /// Which of the upstreams that ever ran there it is; empty when it gives itself no name.
+    /// Name of this instance, which tells it from others that ran at the address; empty when it
+    /// announces none.
     pub instance: SmolStr,
-    /// What it announced, within the limits of its class.
+    /// Its announced properties, limited to what its class allows.
     pub upstream: view::Upstream,
 }
--- a/src/node/ports.rs
+++ b/src/node/ports.rs
@@ -1,4 +1,4 @@
-//! What differs between the places a node runs in.
+//! Interfaces to the services around a node, which differ between the platforms it runs on.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,13 +10,13 @@
 use crate::rollout::{status, stream};
 use crate::traffic;
 
-/// The services around a node and how they speak.
+/// The services around a node and their protocols.
 pub trait Ports: Clone + fmt::Debug + Send + 'static {
     /// The log service.
     type Log: logs::Service;
-    /// Where hosts find one another.
+    /// The directory through which hosts find one another.
     type Directory: directory::Directory;
-    /// Where the operator is told of roll-outs.
+    /// Publishes the status of roll-outs to the operator.
     type Statuses: status::Statuses;
 
     /// A client of the log service whose bytes count into `traffic`.
@@ -29,14 +29,14 @@
         traffic: Arc<traffic::Traffic>,
     ) -> Self::Directory;
 
-    /// Where the operator is told of roll-outs.
+    /// A publisher of the status of roll-outs.
     fn statuses(&self, settings: &configs::Node, traffic: Arc<traffic::Traffic>) -> Self::Statuses;
 
-    /// How callers and upstreams speak.
+    /// The protocol of callers and upstreams.
     fn dialect(&self) -> proxy::Dialect;
 }
 
-/// The product's own protocols.
+/// The built-in protocols of this project.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Builtin;
 
--- a/src/node/shell.rs
+++ b/src/node/shell.rs
@@ -1,4 +1,4 @@
-//! A running node: wires the duties together and takes them through the stages of a planned stop.
+//! A running node: connects the duties and leads them through the stages of a planned stop.
 
 use std::sync::Arc;
 use std::time;
@@ -15,7 +15,7 @@
 use crate::member;
 use crate::node;
 use crate::node::duty;
-use crate::node::life;
+use crate::node::lifecycle;
 use crate::node::ports;
 use crate::proxy;
 use crate::quarantine;
@@ -24,14 +24,15 @@
 use crate::spread;
 use crate::traffic;
 
-/// Time between two looks at the duties.
-const LOOK: time::Duration = time::Duration::from_millis(20);
+/// Interval of checks whether a duty has ended.
+const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
-/// Room for peers that run something else; the next probe repeats what is dropped.
-const HEARD: usize = 256;
+/// Capacity of the ring of peers that run another version. Dropped entries are repeated by the next
+/// probe.
+const MISMATCH_CAPACITY: usize = 256;
 
-/// Room for usage counts; what is refused stays with the call path.
-const TALLIES: usize = 16;
+/// Capacity of the rings of usage counts; refused counts stay with the sender.
+const COUNTS_CAPACITY: usize = 16;
 
 /// The log service as the duties use it.
 type Log<P> = logs::reachability::Watched<<P as ports::Ports>::Log>;
@@ -45,10 +46,10 @@
 pub struct Node {
     clock: clock::System,
     stage: watch::Sender<node::Stage>,
-    /// The duty of calls; its end means that nothing is in flight.
+    /// The calls duty; it ends when no call is in flight.
     calls: duty::Duty,
     others: Vec<duty::Duty>,
-    limits: life::Limits,
+    limits: lifecycle::Limits,
 }
 
 impl Node {
@@ -56,56 +57,56 @@
     ///
     /// # Errors
     ///
-    /// The operating system gives no thread. A duty that can't bind its address ends with an
-    /// error, which [`Node::run`] gives.
+    /// A thread can't be created. A duty that can't bind its address ends with an error, which
+    /// [`Node::run`] returns.
     pub fn start<P: ports::Ports>(
         ctx: context::Context,
         settings: configs::Node,
         ports: P,
     ) -> Result<Self, duty::Error> {
-        let limits = life::Limits {
+        let limits = lifecycle::Limits {
             serve: time::Duration::from_millis(settings.stop.serve_ms),
             settle: time::Duration::from_millis(settings.stop.settle_ms),
             drain: time::Duration::from_millis(settings.stop.drain_ms),
         };
-        let wires = Wires::new(ctx, settings, ports);
-        let stage = wires.stage.clone();
-        let (calls, others) = wires.start()?;
+        let builder = Builder::new(ctx, settings, ports);
+        let stage = builder.stage.clone();
+        let (calls, others) = builder.start()?;
         Ok(Self { clock: ctx.clock, stage, calls, others, limits })
     }
 
-    /// Runs until a planned stop that was asked for through `stops` is over, or until a duty
-    /// fails. A second request cuts the drain short.
+    /// Runs until a planned stop requested through `stops` is complete, or until a duty fails. A
+    /// second request ends the drain at once.
     ///
     /// # Errors
     ///
-    /// The first failure of a duty; the other duties are ended before.
+    /// The first error of a duty, returned after the other duties have ended.
     pub async fn run(self, mut stops: ring::Receiver<Stop>) -> Result<(), duty::Error> {
-        let mut life = life::Machine::new(self.limits);
+        let mut lifecycle = lifecycle::Machine::new(self.limits);
         loop {
             let event = tokio::select! {
-                Some(Stop) = stops.recv() => life::Event::Stop,
-                () = tokio::time::sleep(LOOK) => self.look(),
+                Some(Stop) = stops.recv() => lifecycle::Event::Stop,
+                () = tokio::time::sleep(CHECK_INTERVAL) => self.event(),
             };
-            let stage = life.handle(event, self.clock.now());
+            let stage = lifecycle.handle(event, self.clock.now());
             if self.stage.send_if_modified(|old| std::mem::replace(old, stage) != stage) {
-                log::info!(stage:? = stage; "the stage of the node has changed");
+                log::info!(stage:? = stage; "the stage of the node changed");
             }
-            if stage == node::Stage::End || self.broken(stage) {
+            if stage == node::Stage::End || self.has_failed(stage) {
                 break;
             }
         }
         self.end().await
     }
 
-    fn look(&self) -> life::Event {
-        if self.calls.ended() { life::Event::Idle } else { life::Event::Tick }
+    fn event(&self) -> lifecycle::Event {
+        if self.calls.is_finished() { lifecycle::Event::Idle } else { lifecycle::Event::Tick }
     }
 
-    /// Whether a duty has ended that should not have.
-    fn broken(&self, stage: node::Stage) -> bool {
-        let calls = stage < node::Stage::Drain && self.calls.ended();
-        calls || self.others.iter().any(duty::Duty::ended)
+    /// Whether a duty has ended before its time.
+    fn has_failed(&self, stage: node::Stage) -> bool {
+        let calls = stage < node::Stage::Drain && self.calls.is_finished();
+        calls || self.others.iter().any(duty::Duty::is_finished)
     }
 
     async fn end(self) -> Result<(), duty::Error> {
@@ -120,30 +121,30 @@
     }
 }
 
-/// The ends of everything that joins the duties of one node.
-struct Wires<P> {
+/// Connects and starts the duties of one node.
+struct Builder<P> {
     ports: P,
     ctx: context::Context,
     settings: Arc<configs::Node>,
     traffic: Arc<traffic::Traffic>,
     metrics: admin::metrics::Metrics,
-    /// Told by every client of the log.
-    told: Arc<watch::Sender<logs::reachability::Reachability>>,
+    /// Updated by every client of the log.
+    reach_sender: Arc<watch::Sender<logs::reachability::Reachability>>,
     reach: watch::Receiver<logs::reachability::Reachability>,
     stage: watch::Sender<node::Stage>,
 }
 
-impl<P: ports::Ports> Wires<P> {
+impl<P: ports::Ports> Builder<P> {
     fn new(ctx: context::Context, settings: configs::Node, ports: P) -> Self {
         let traffic = Arc::new(traffic::Traffic::default());
-        let (told, reach) = watch::channel(logs::reachability::Reachability::default());
+        let (reach_sender, reach) = watch::channel(logs::reachability::Reachability::default());
         Self {
             ports,
             ctx,
             settings: Arc::new(settings),
             traffic,
             metrics: admin::metrics::Metrics::new(),
-            told: Arc::new(told),
+            reach_sender: Arc::new(reach_sender),
             reach,
             stage: watch::Sender::new(node::Stage::Run),
         }
@@ -152,36 +153,36 @@
     /// A client of the log service; each duty has its own.
     fn log(&self) -> Log<P> {
         let client = self.ports.log(&self.settings, Arc::clone(&self.traffic));
-        logs::reachability::Watched::new(client, self.ctx.clock, Arc::clone(&self.told))
+        logs::reachability::Watched::new(client, self.ctx.clock, Arc::clone(&self.reach_sender))
     }
 
-    /// Starts the duties; the first of the result is that of calls.
+    /// Starts the duties; returns the calls duty and the others.
     fn start(self) -> Result<(duty::Duty, Vec<duty::Duty>), duty::Error> {
-        let (applied_in, applied) = watch::channel(Arc::default());
-        let (view_in, view) = watch::channel(Arc::default());
-        let (local_in, local) = watch::channel(None);
-        let (heard_in, heard) = ring::bounded(HEARD);
-        let (tallies_in, tallies) = ring::bounded(TALLIES);
-        self.metrics.ring("heard", &heard_in);
-        let (usage_in, usage) = ring::bounded(TALLIES);
+        let (applied_sender, applied) = watch::channel(Arc::default());
+        let (view_sender, view) = watch::channel(Arc::default());
+        let (local_sender, local) = watch::channel(None);
+        let (heard_sender, heard) = ring::bounded(MISMATCH_CAPACITY);
+        let (tallies_sender, tallies) = ring::bounded(COUNTS_CAPACITY);
+        self.metrics.ring("heard", &heard_sender);
+        let (usage_sender, usage) = ring::bounded(COUNTS_CAPACITY);
         let (claims, receivers) = claim::handle::pair();
-        self.metrics.ring("tallies", &tallies_in);
+        self.metrics.ring("tallies", &tallies_sender);
         self.metrics.ring("claims", claims.claims());
         self.metrics.ring("releases", claims.releases());
-        let (suspects, reported) = quarantine::channel();
+        let (suspects, reports) = quarantine::channel();
         self.metrics.ring("quarantine", &suspects.reports);
         self.metrics.quarantine(&suspects.counts);
         let member = self.member(member::shell::Wiring {
             applied: applied.clone(),
-            view: view_in,
-            heard: heard_in,
+            view: view_sender,
+            heard: heard_sender,
             local: local.clone(),
-            quarantine: reported,
+            quarantine: reports,
             stage: self.stage.subscribe(),
             traffic: Arc::clone(&self.traffic),
         })?;
         let spread = self.spread(spread::shell::Wiring {
-            applied: applied_in,
+            applied: applied_sender,
             view: view.clone(),
             heard,
             log: self.log(),
@@ -198,24 +199,24 @@
             stage: self.stage.subscribe(),
             traffic: Arc::clone(&self.traffic),
         })?;
-        let (beliefs, believed) = watch::channel(Vec::new());
-        let (said_in, said) = watch::channel(Default::default());
-        let (trial, tried) = watch::channel(Default::default());
+        let (progress, progress_receiver) = watch::channel(Vec::new());
+        let (statuses_sender, statuses) = watch::channel(Default::default());
+        let (trial, trial_receiver) = watch::channel(Default::default());
         let rollout = self.rollout(rollout::shell::Wiring {
             statuses: self.ports.statuses(&self.settings, Arc::clone(&self.traffic)),
-            progress: believed,
-            status_list: said_in,
+            progress: progress_receiver,
+            status_list: statuses_sender,
             view: view.clone(),
             stage: self.stage.subscribe(),
         })?;
         let admin = self.admin(admin::shell::Wiring {
             applied: applied.clone(),
             view: view.clone(),
-            trial: tried,
-            local: local_in,
+            trial: trial_receiver,
+            local: local_sender,
             reach: self.reach.clone(),
             tallies,
-            usage: usage_in,
+            usage: usage_sender,
             metrics: self.metrics.clone(),
             stage: self.stage.subscribe(),
             traffic: Arc::clone(&self.traffic),
@@ -225,11 +226,11 @@
             view,
             local,
             stage: self.stage.subscribe(),
-            tallies: tallies_in,
+            tallies: tallies_sender,
             claims,
             dialect: self.ports.dialect(),
             quarantine: suspects,
-            rollouts: rollout::shell::Channels { progress: beliefs, statuses: said, trial },
+            rollouts: rollout::shell::Channels { progress, statuses, trial },
         })?;
         Ok((calls, vec![member, spread, ledger, admin, rollout]))
     }
@@ -259,8 +260,8 @@
         &self,
         wiring: rollout::shell::Wiring<P::Statuses>,
     ) -> Result<duty::Duty, duty::Error> {
-        let (ctx, me) = (self.ctx, self.settings.host());
-        duty::Duty::spawn("rollout", move || rollout::shell::run(ctx, me, wiring))
+        let (ctx, host) = (self.ctx, self.settings.host());
+        duty::Duty::spawn("rollout", move || rollout::shell::run(ctx, host, wiring))
     }
 
     fn calls(
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -1,4 +1,4 @@
-//! Bounded rings that join the threads of a node.
+//! Rings: bounded queues that connect the duties of a node.
 
 use std::sync::Arc;
 use std::sync::atomic;
@@ -21,13 +21,14 @@
 /// The receiving end of a ring.
 pub type Receiver<T> = mpsc::Receiver<T>;
 
-/// The item that a full or closed ring gave back.
+/// The item that a full or closed ring returned.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("the ring is full or its reader has ended")]
+#[error("the ring is full or its receiver is closed")]
 pub struct Refused<T>(pub T);
 
 impl<T> Sender<T> {
-    /// Puts `item` into the ring without waiting; gives it back when there is no room.
+    /// Adds `item` to the ring without waiting. When the ring is full or closed, the item is
+    /// counted as refused and returned.
     pub fn offer(&self, item: T) -> Result<(), Refused<T>> {
         self.inner.try_send(item).map_err(|e| {
             self.refused.fetch_add(1, atomic::Ordering::Relaxed);
@@ -38,24 +39,25 @@
         })
     }
 
-    /// Puts `item` into the ring, waiting for room; gives it back when the reader has ended.
+    /// Adds `item` to the ring, waiting until there is room. When the receiver is closed, the item
+    /// is returned.
     pub async fn send(&self, item: T) -> Result<(), Refused<T>> {
         self.inner.send(item).await.map_err(|e| Refused(e.0))
     }
 
-    /// The count of items that the ring refuses.
+    /// The counter of refused items.
     pub fn refusals(&self) -> Refusals {
         Refusals(Arc::clone(&self.refused))
     }
 }
 
-/// How many items a ring has refused. It does not keep the ring open: a reader that waits for the
-/// last sender to end still sees it end.
+/// Counter of the items that a ring has refused. It does not keep the ring open, so that a receiver
+/// still sees when the last sender is dropped.
 #[derive(Clone, Debug)]
 pub struct Refusals(Arc<atomic::AtomicU64>);
 
 impl Refusals {
-    /// Items refused so far.
+    /// Number of items refused so far.
     pub fn get(&self) -> u64 {
         self.0.load(atomic::Ordering::Relaxed)
     }
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -2,14 +2,14 @@
 
 use std::sync::atomic;
 
-/// What a message is for.
+/// Purpose of a message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Purpose {
     /// Claims and usage between nodes.
     Ledger,
     /// Requests to the platform's log.
     Log,
-    /// Membership.
+    /// Membership messages between nodes.
     Member,
     /// Configuration between nodes.
     Spread,
@@ -28,7 +28,7 @@
     pub received: atomic::AtomicU64,
     /// Datagrams or frames sent.
     pub messages: atomic::AtomicU64,
-    /// Datagrams or frames dropped: wrong tag, not decodable, too large.
+    /// Datagrams or frames dropped because of a wrong tag, a decoding error or their size.
     pub dropped: atomic::AtomicU64,
 }
 
--- a/tests/log_service.rs
+++ b/tests/log_service.rs
@@ -1,4 +1,4 @@
-//! The log client against the stand-in, over loopback, with faults.
+//! Tests of the log client against the stand-in of the log service, over loopback, with faults.
 
 use std::net;
 use std::sync::Arc;
@@ -82,7 +82,7 @@
 #[case::close(faults::Outage::Close, true)]
 #[case::hang(faults::Outage::Hang, true)]
 #[tokio::test]
-async fn an_outage_is_an_error_that_says_whether_it_is_certain(
+async fn an_error_during_an_outage_says_whether_the_append_may_have_happened(
     #[case] outage: faults::Outage,
     #[case] uncertain: bool,
 ) {
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_is_uncertain_and_its_record_is_there() {
+async fn a_lost_answer_is_uncertain_and_its_record_is_appended() {
     let server = serve(log::Options::default()).await;
     let (client, _) = client(server.address(), 5000);
     server.set_faults(faults::Faults { lose_next: 1, ..faults::Faults::default() });
@@ -107,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn appends_above_the_rate_are_refused_for_certain() {
+async fn appends_above_the_rate_limit_are_refused_with_certainty() {
     let server = serve(log::Options { rate: 2, ..log::Options::default() }).await;
     let (client, _) = client(server.address(), 5000);
     let mut refused = 0;
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test]
-async fn an_address_nobody_listens_on_is_certain() {
+async fn a_refused_connection_is_an_error_without_uncertainty() {
     let server = serve(log::Options::default()).await;
     let (client, _) = client(server.address(), 5000);
     drop(server);
