--- a/src/node/shell.rs
+++ b/src/node/shell.rs
@@ -175,7 +175,7 @@
         let member = self.member(member::shell::Wiring {
             applied: applied.clone(),
             view: view_sender,
-            mismatches: mismatches_sender,
+            mismatches: heard_sender,
             local: local.clone(),
             quarantine: reports,
             stage: self.stage.subscribe(),
