--- a/src/admit/gate.rs
+++ b/src/admit/gate.rs
@@ -285,8 +285,8 @@
         admit::Action::Refuse { ticket, reason, retry_after: self.retry_after(ticket, now) }
     }
 
-    /// Time after which the caller of `ticket` may retry: at least until the waiting calls have started,
-    /// and up to twice as long, depending on the ticket.
+    /// Time after which the caller of `ticket` may retry: at least until the waiting calls have
+    /// started, and up to twice as long, depending on the ticket.
     pub fn retry_after(&self, ticket: admit::Ticket, now: clock::Instant) -> time::Duration {
         stagger(self.expected_wait(self.queue.len(), now).max(MIN_WAIT), ticket)
     }
--- a/src/pick/mod.rs
+++ b/src/pick/mod.rs
@@ -1,7 +1,8 @@
 //! Choice of the upstream that runs a call.
 //!
-//! An entry knows three things of an upstream: what the membership says, its own outstanding
-//! calls, and what came back with answers. Nothing else is shared between entries.
+//! An entry node knows three things about an upstream: its state in the membership, the node's own
+//! outstanding calls to it, and the load that it reported with its answers. Entry nodes share
+//! nothing else.
 
 mod outlier;
 mod peer;
@@ -25,52 +26,52 @@
 pub use self::policy::{Cheapest, LeastOutstanding, PowerOfTwo, RemainingCapacity, RoundRobin};
 pub use self::pool::{Policy, Pool};
 
-/// Key of a [`Peer`] in the arena of its picker. A key outlives rebuilds; when its host has left
-/// and its last call has ended, the key is void.
+/// Key of a [`Peer`] in the arena of its picker. A key outlives rebuilds; it becomes invalid when
+/// its host has left and its last call has ended.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct PeerKey {
     index: u32,
     generation: u32,
 }
 
-/// What a call needs.
+/// The upstreams among which a call can choose.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Target {
-    /// Service that runs it.
+    /// Service that runs the call.
     pub service: mesh::ServiceKey,
-    /// Class whose upstreams run it; `None` allows every upstream of the service.
+    /// Class whose upstreams may run the call; `None` allows every upstream of the service.
     pub class: Option<mesh::ClassKey>,
-    /// Which versions of them run it.
+    /// Versions of the upstreams that may run the call.
     pub group: rollout::VersionGroup,
 }
 
-/// What a call costs on its way, as the share of an upstream's slots that it is worth waiting for
-/// nearer by. 1 is one service time.
+/// Cost of sending a call to another host or zone. A cost of 1 is worth a wait of one service time
+/// at a nearer upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TransferCost {
-    /// To another availability zone.
+    /// Cost of a call to another availability zone, in service times.
     pub cross_zone: f32,
-    /// Time that its bytes take up the link of a host, in microseconds; a call that stays on its
-    /// host takes up none.
+    /// Time for which the bytes of the call occupy the link of a host, in microseconds; a call that
+    /// stays on its host occupies none.
     pub link_us: f32,
-    /// Whether a running call waits for it, so that it goes before new work at the upstream.
+    /// Whether a running call waits for this one, so that it runs before new work at the upstream.
     pub inner: bool,
 }
 
 impl TransferCost {
-    /// No way costs anything.
+    /// No cost to any host or zone.
     pub const FREE: TransferCost = TransferCost { cross_zone: 0.0, link_us: 0.0, inner: false };
 
-    /// The toll of a call to an upstream in `tier` whose service time, in microseconds, is
-    /// `service`.
-    fn of(&self, tier: usize, service: Option<f32>) -> f32 {
-        /// Service time of an upstream that has answered no call yet, in microseconds: in the
-        /// middle of those of the users' services, 15 to 290 ms.
-        const USUAL: f32 = 100_000.0;
-        let link = self.link_us / service.unwrap_or(USUAL);
+    /// The cost of a call to an upstream in `tier` with a service time of `service_us`; `None` if
+    /// that is unknown.
+    fn for_tier(&self, tier: usize, service_us: Option<f32>) -> f32 {
+        /// Service time that is assumed of an upstream without answers, in microseconds. The
+        /// services of the users take 15 to 290 ms.
+        const DEFAULT_SERVICE_US: f32 = 100_000.0;
+        let link = self.link_us / service_us.unwrap_or(DEFAULT_SERVICE_US);
         match tier {
             0 => 0.0,
-            table::AWAY => link,
+            table::OTHER_HOST => link,
             _ => link + self.cross_zone,
         }
     }
@@ -79,25 +80,26 @@
 /// The upstream picked for one attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Choice {
-    /// Its host.
+    /// Host of the upstream.
     pub host: host::HostId,
-    /// Its key.
+    /// Key of the upstream's peer.
     pub key: PeerKey,
-    /// Whether it stands in this node's availability zone.
+    /// Whether the upstream is in this node's availability zone.
     pub same_zone: bool,
-    /// What it was picked for.
+    /// The target for which it was picked.
     pub target: Target,
 }
 
-/// How an attempt ended, as the picker needs to know it.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Report {
-    /// Its outcome.
+    /// Outcome of the attempt.
     pub outcome: retry::Outcome,
-    /// Load that came back with the answer.
+    /// Load that the upstream's node sent with the answer; `None` if there was none.
     pub load: Option<admit::Load>,
-    /// Time that the upstream took, as a multiple of that of all upstreams for calls of its kind.
+    /// Run time, as a multiple of the mean run time of the kind at all upstreams; `None` if
+    /// unknown.
     pub relative_time: Option<f32>,
-    /// Time from start to end of the attempt.
+    /// Time from the start to the end of the attempt.
     pub latency: time::Duration,
 }
--- a/src/pick/outlier.rs
+++ b/src/pick/outlier.rs
@@ -1,31 +1,31 @@
-//! Ejection of one upstream by the results of its calls: a circuit breaker with back-off.
+//! Ejection of an upstream because of the results of its calls: a circuit breaker with back-off.
 
 use std::time;
 
 use crate::clock;
 
-/// Doublings after which the back-off grows no more.
-const DOUBLINGS: u8 = 10;
+/// How often the back-off can double.
+const MAX_DOUBLINGS: u8 = 10;
 
-/// Limits of a breaker.
+/// Settings of a breaker.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Limits {
-    /// Failures in a row that open it.
-    pub(super) after: u8,
+    /// Consecutive failures that open the breaker.
+    pub(super) failures: u8,
     /// Back-off of the first ejection.
     pub(super) base: time::Duration,
     /// Longest back-off.
-    pub(super) most: time::Duration,
+    pub(super) max: time::Duration,
 }
 
-/// Where a breaker stands.
+/// State of a breaker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum State {
-    /// Calls pass.
+    /// Calls are sent.
     Closed,
-    /// No call passes before the instant; then one does.
+    /// No call is sent before `until`; then one is.
     Open { until: clock::Instant },
-    /// One call probes; another one may when it has not ended by the instant.
+    /// One call was sent as a probe; another one may be sent if it has not ended at `until`.
     Probing { until: clock::Instant },
 }
 
@@ -33,9 +33,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Breaker {
     state: State,
-    /// Failures in a row while closed.
+    /// Consecutive failures while closed.
     failures: u8,
-    /// Ejections in a row without a success between them.
+    /// Ejections without a success in between.
     ejections: u8,
 }
 
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Whether it is not closed.
+    /// Whether the upstream is ejected or probed.
     pub(super) fn is_open(&self) -> bool {
         self.state != State::Closed
     }
 
-    /// When the next call passes.
+    /// When the next call may be sent.
     pub(super) fn opens(&self) -> clock::Instant {
         match self.state {
             State::Closed => clock::Instant::ZERO,
@@ -65,14 +65,14 @@
         }
     }
 
-    /// Notes that a call was sent: it is the probe of an open breaker whose back-off is over.
+    /// Records that a call was sent; it is the probe of an open breaker whose back-off has passed.
     pub(super) fn started(&mut self, limits: &Limits, now: clock::Instant) {
         if self.state != State::Closed && self.passes(now) {
             self.state = State::Probing { until: now + self.back_off(limits) };
         }
     }
 
-    /// Notes a good result.
+    /// Records a success.
     pub(super) fn success(&mut self) {
         self.failures = 0;
         if !matches!(self.state, State::Open { .. }) {
@@ -80,27 +80,27 @@
         }
     }
 
-    /// Notes a failure; enough of them in a row eject.
+    /// Records a failure; enough consecutive ones eject the upstream.
     pub(super) fn failure(&mut self, limits: &Limits, now: clock::Instant) {
         self.failures = self.failures.saturating_add(1);
         let probing = matches!(self.state, State::Probing { .. });
-        if probing || self.failures >= limits.after {
+        if probing || self.failures >= limits.failures {
             self.eject(limits, now);
         }
     }
 
-    /// Ejects at once. An ejection that runs already is left as it is: calls sent before it
-    /// fail together and say nothing new.
+    /// Ejects the upstream at once. A current ejection is not extended: calls that were sent before
+    /// it fail together and carry no new information.
     pub(super) fn eject(&mut self, limits: &Limits, now: clock::Instant) {
         if matches!(self.state, State::Open { until } if now < until) {
             return;
         }
         self.state = State::Open { until: now + self.back_off(limits) };
-        self.ejections = self.ejections.saturating_add(1).min(DOUBLINGS);
+        self.ejections = self.ejections.saturating_add(1).min(MAX_DOUBLINGS);
         self.failures = 0;
     }
 
     fn back_off(&self, limits: &Limits) -> time::Duration {
-        limits.base.saturating_mul(1 << self.ejections).min(limits.most)
+        limits.base.saturating_mul(1 << self.ejections).min(limits.max)
     }
 }
--- a/src/pick/peer.rs
+++ b/src/pick/peer.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of one upstream.
+//! State that an entry node keeps for one upstream.
 
 use std::time;
 
@@ -11,103 +11,108 @@
 use crate::retry;
 use crate::view;
 
-/// Share of an upstream's slots and queue from which on a further call is likely to be refused. What
-/// is known of a queue is some milliseconds old, in which one in ten of its places fills.
-const BRIM: f32 = 0.9;
+/// Share of an upstream's slots and queue above which a further call is likely to be refused. The
+/// reported load is some milliseconds old; in that time a tenth of the queue may fill.
+const SATURATION: f32 = 0.9;
 
-/// Share of its full size that an upstream gets when it starts.
+/// Share of its slots with which a starting upstream is counted.
 const COLD_SHARE: f32 = 0.1;
 
 /// Weight of a new measurement: one in this many.
 const SMOOTHING: f32 = 8.0;
 
-/// Fullness from which on a call is expected to wait.
-pub(super) const WAITS: f32 = 1.0;
+/// Fullness above which a call is expected to wait.
+pub(super) const FULL: f32 = 1.0;
 
-/// Share of an upstream's wait that a call sees which goes before new work: such calls are a quarter to
-/// a third of the work where services call one another, and wait for each other alone.
-const INNER_WAIT: f32 = 0.25;
+/// Share of an upstream's wait for calls that run before new work. They wait only for one another,
+/// and are a quarter to a third of the work where services call each other.
+const INNER_WAIT_SHARE: f32 = 0.25;
 
-/// Half-life of what was seen of an upstream's pace, in microseconds: some seconds, the time for which
-/// an upstream is slow after a start or a fault.
-const PACE_HALF: f32 = 4_000_000.0;
+/// Half-life of the relative run time of an upstream: some seconds, the time for which an upstream
+/// is slow after a start or a fault.
+const RELATIVE_TIME_HALF_LIFE_US: f32 = 4_000_000.0;
 
-/// Service times closer than this, in microseconds, are not told apart.
-const SLACK: f32 = 500.0;
+/// Allowance on the limit above which a service time counts as slow, so that small differences
+/// between short calls do not count.
+const SLOW_MARGIN_US: f32 = 500.0;
 
-/// Limits by which results are judged.
+/// Settings by which loads and results are judged.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Rules {
     pub(super) breaker: outlier::Limits,
-    /// Half-life of a reported load, in microseconds.
-    pub(super) half: f32,
-    pub(super) usual_half: f32,
-    /// Times slower than its peers that makes an outlier.
-    pub(super) slow: f32,
+    /// Half-life of the last reported load, in microseconds.
+    pub(super) load_half_us: f32,
+    /// Half-life of the mean reported load, in microseconds.
+    pub(super) mean_half_us: f32,
+    /// An upstream that is this many times slower than its peers is an outlier.
+    pub(super) slow_factor: f32,
 }
 
 impl Rules {
     pub(super) fn new(settings: &configs::call::Call) -> Self {
         let breaker = outlier::Limits {
-            after: settings.eject_after.max(1),
+            failures: settings.eject_after.max(1),
             base: time::Duration::from_millis(settings.eject_ms),
-            most: time::Duration::from_millis(settings.eject_most_ms),
+            max: time::Duration::from_millis(settings.eject_most_ms),
         };
-        let half = settings.load_half_ms.max(1) as f32 * 1000.0;
+        let load_half_us = settings.load_half_ms.max(1) as f32 * 1000.0;
         Self {
             breaker,
-            half,
-            usual_half: 2_000_000.0,
-            slow: f32::from(settings.slow_factor.max(2)),
+            load_half_us,
+            mean_half_us: 2_000_000.0,
+            slow_factor: f32::from(settings.slow_factor.max(2)),
         }
     }
 }
 
-/// What the other upstreams of the same list say.
+/// Aggregate of the upstreams of one list.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Crowd {
-    /// Lower median of the known service times, in microseconds; `None` below two.
-    pub(super) service: Option<f32>,
-    /// Whether enough others are left for one more to be ejected on suspicion.
-    pub(super) spare: bool,
+pub(super) struct Aggregate {
+    /// Lower median of the known service times, in microseconds; `None` if fewer than two are
+    /// known.
+    pub(super) service_us: Option<f32>,
+    /// Whether few enough upstreams are ejected for one more to be ejected because of failures or
+    /// slowness.
+    pub(super) can_eject: bool,
 }
 
-/// The load that the last answer told.
+/// The load that came with the last answer.
 #[derive(Clone, Copy, Debug)]
-struct Told {
-    /// Calls of other entries, running and waiting.
+struct ReportedLoad {
+    /// Running and waiting calls of other entry nodes.
     others: u16,
-    /// Running and waiting calls of every entry.
+    /// Running and waiting calls of all entry nodes.
     total: u16,
-    /// Slots as the gate counts them.
+    /// Slots as the upstream's gate counts them.
     slots: u16,
-    /// Smoothed `others`.
-    usual: f32,
+    /// Smoothed mean of `others`.
+    mean_others: f32,
     at: clock::Instant,
 }
 
-/// What an entry knows of one upstream.
+/// State that an entry node keeps for one upstream.
 #[derive(Clone, Debug)]
 pub struct Peer {
     host: host::HostId,
-    incarnation: u64,
-    /// Life of the upstream.
-    life: u32,
+    host_incarnation: u64,
+    upstream_incarnation: u32,
+    /// Distinguishes the peer from earlier ones at the same index of the arena.
     generation: u32,
-    /// In the current view and mesh.
+    /// Whether it is in the current view and mesh.
     pub(super) listed: bool,
     health: view::Health,
     phase: view::Phase,
     slots: u16,
     /// Calls that may wait at its node.
     queue: u16,
-    /// When warming began and how long it takes, in microseconds.
+    /// When the warm-up began, and how long it takes, in microseconds; `None` if the upstream is
+    /// not warming.
     warming: Option<(clock::Instant, f32)>,
     outstanding: u16,
-    told: Option<Told>,
-    /// Mean service time that its gate measured, in microseconds; 0 while unknown.
+    reported: Option<ReportedLoad>,
+    /// Mean service time that its gate reported; 0 while unknown.
     service_us: u32,
-    /// Its time for a call as a multiple of that of all upstreams, and when that was seen last.
+    /// Run time as a multiple of the mean of all upstreams, and when it was last updated.
     relative_time: (f32, clock::Instant),
     breaker: outlier::Breaker,
 }
@@ -116,8 +121,8 @@
     pub(super) fn new(host: host::HostId, generation: u32) -> Self {
         Self {
             host,
-            incarnation: 0,
-            life: 0,
+            host_incarnation: 0,
+            upstream_incarnation: 0,
             generation,
             listed: false,
             health: view::Health::Alive,
@@ -126,35 +131,38 @@
             queue: 0,
             warming: None,
             outstanding: 0,
-            told: None,
+            reported: None,
             service_us: 0,
             relative_time: (1.0, clock::Instant::ZERO),
             breaker: outlier::Breaker::new(),
         }
     }
 
-    /// Takes in what the membership says; a new life of the host or of its upstream starts afresh.
+    /// Updates the state from the membership. A new incarnation of the host or of its upstream
+    /// resets the measurements.
     pub(super) fn update(
         &mut self,
         host: &view::Host,
         upstream: &view::Upstream,
-        most: u16,
+        max_slots: u16,
         queue: u16,
         warmup: time::Duration,
         now: clock::Instant,
     ) {
-        if (self.incarnation, self.life) != (host.incarnation, upstream.incarnation) {
-            self.told = None;
+        if (self.host_incarnation, self.upstream_incarnation)
+            != (host.incarnation, upstream.incarnation)
+        {
+            self.reported = None;
             self.service_us = 0;
             self.relative_time = (1.0, now);
             self.breaker = outlier::Breaker::new();
             self.warming = None;
         }
-        self.incarnation = host.incarnation;
-        self.life = upstream.incarnation;
+        self.host_incarnation = host.incarnation;
+        self.upstream_incarnation = upstream.incarnation;
         self.listed = true;
         self.health = host.health;
-        self.slots = upstream.slots.min(most);
+        self.slots = upstream.slots.min(max_slots);
         self.queue = queue;
         self.phase = upstream.phase;
         self.warming = match upstream.phase {
@@ -166,44 +174,45 @@
         };
     }
 
-    /// Its host.
+    /// Host of the upstream.
     pub const fn host(&self) -> host::HostId {
         self.host
     }
 
-    /// Calls of this entry that have not ended.
+    /// Calls of this entry node that have not ended.
     pub const fn outstanding(&self) -> u16 {
         self.outstanding
     }
 
-    /// Calls it runs at once when warm.
+    /// Calls that it can run at once when it is warm.
     pub const fn slots(&self) -> u16 {
         self.slots
     }
 
-    /// Mean service time that its gate measured, in microseconds; `None` while unknown.
+    /// Mean service time that its gate reported, in microseconds; `None` while unknown.
     pub fn service_us(&self) -> Option<f32> {
         (self.service_us > 0).then_some(self.service_us as f32)
     }
 
-    /// Running and waiting calls that its last answer told, of every entry, however old.
+    /// Running and waiting calls of all entry nodes by its last report, however old that is.
     pub fn reported_calls(&self) -> u16 {
-        self.told.map_or(0, |t| t.total)
+        self.reported.map_or(0, |r| r.total)
     }
 
-    /// Calls believed to be at it: own ones, and those of others as far as they are remembered.
-    pub(super) fn calls(&self, rules: &Rules, now: clock::Instant) -> f32 {
-        let others = self.told.map_or(0.0, |told| {
-            let age = now.since(told.at).as_micros() as f32;
-            let usual = told.usual * (-age / rules.usual_half).exp2();
-            usual + (f32::from(told.others) - usual) * (-age / rules.half).exp2()
+    /// Estimated calls at the upstream: those of this node, and the reported ones of others, which
+    /// count less with age.
+    pub(super) fn estimated_calls(&self, rules: &Rules, now: clock::Instant) -> f32 {
+        let others = self.reported.map_or(0.0, |reported| {
+            let age = now.since(reported.at).as_micros() as f32;
+            let mean = reported.mean_others * (-age / rules.mean_half_us).exp2();
+            mean + (f32::from(reported.others) - mean) * (-age / rules.load_half_us).exp2()
         });
         f32::from(self.outstanding) + others
     }
 
-    /// Slots it is worth now: fewer while it warms, and as many as its gate counted.
-    fn worth(&self, now: clock::Instant) -> f32 {
-        let counted = self.told.map_or(self.slots, |t| t.slots.min(self.slots));
+    /// Slots that count at present: those that its gate counted, and fewer while it warms up.
+    fn effective_slots(&self, now: clock::Instant) -> f32 {
+        let counted = self.reported.map_or(self.slots, |r| r.slots.min(self.slots));
         let slots = f32::from(counted.max(1));
         let Some((since, warmup)) = self.warming else {
             return slots;
@@ -212,51 +221,51 @@
         slots * (age / warmup.max(1.0)).clamp(COLD_SHARE, 1.0)
     }
 
-    /// Share of its slots that would be taken with one more call; above 1 the call would wait.
+    /// Share of its slots that would be taken with one more call; above 1 that call would wait.
     pub(super) fn fullness(&self, rules: &Rules, now: clock::Instant) -> f32 {
-        (self.calls(rules, now) + 1.0) / self.worth(now)
+        (self.estimated_calls(rules, now) + 1.0) / self.effective_slots(now)
     }
 
-    /// Its time for a call as a multiple of that of all upstreams; what was seen is forgotten, so that
-    /// one that was slow for a while is tried again.
+    /// Run time as a multiple of the mean of all upstreams. It decays to 1, so that an upstream
+    /// that was slow for a while gets calls again.
     fn relative_time(&self, now: clock::Instant) -> f32 {
-        let (pace, at) = self.relative_time;
+        let (ratio, at) = self.relative_time;
         let age = now.since(at).as_micros() as f32;
-        1.0 + (pace - 1.0) * (-age / PACE_HALF).exp2()
+        1.0 + (ratio - 1.0) * (-age / RELATIVE_TIME_HALF_LIFE_US).exp2()
     }
 
-    /// What one more call would cost there, in the usual service times of its kind: its share of the
-    /// slots, and from then on its wait, both as long as this upstream takes for a call.
+    /// What one more call would cost at the upstream, in mean service times of its kind: the share
+    /// of the slots that is taken, and above 1 the wait, both multiplied by the relative run time.
     ///
-    /// Upstreams of one service differ by a factor of two and more. By the share of slots taken alone,
-    /// what running calls wait for stood at the slow one: with the pace 0.755 of the credit was earned
-    /// over five days of load and faults in place of 0.739, and 87% of the calls were served in place
-    /// of 85% (three seeds each, simulated hosts).
+    /// Upstreams of one service differ by a factor of two and more. Without the relative run time,
+    /// calls that running calls wait for were held up at the slow upstreams: over five days of load
+    /// and faults 0.739 of the credit was earned instead of 0.755, and 85% of the calls were served
+    /// instead of 87%.
     pub(super) fn cost(&self, inner: bool, rules: &Rules, now: clock::Instant) -> f32 {
         let fullness = self.fullness(rules, now);
-        let turns = (fullness - WAITS).max(0.0) * if inner { INNER_WAIT } else { 1.0 };
-        self.relative_time(now) * (fullness.min(WAITS) + turns)
+        let wait = (fullness - FULL).max(0.0) * if inner { INNER_WAIT_SHARE } else { 1.0 };
+        self.relative_time(now) * (fullness.min(FULL) + wait)
     }
 
-    /// Whether one more call would find the queue at its node full, or next to it.
-    pub(super) fn brims(&self, rules: &Rules, now: clock::Instant) -> bool {
-        let slots = self.told.map_or(self.slots, |t| t.slots.min(self.slots));
-        let room = f32::from(slots) + f32::from(self.queue);
-        self.calls(rules, now) + 1.0 > room * BRIM
+    /// Whether the queue at its node would be full or nearly full with one more call.
+    pub(super) fn is_saturated(&self, rules: &Rules, now: clock::Instant) -> bool {
+        let slots = self.reported.map_or(self.slots, |r| r.slots.min(self.slots));
+        let capacity = f32::from(slots) + f32::from(self.queue);
+        self.estimated_calls(rules, now) + 1.0 > capacity * SATURATION
     }
 
-    /// Whether calls may go to it at all.
+    /// Whether calls may be sent to it at all.
     pub(super) fn is_open(&self) -> bool {
         self.listed && self.phase != view::Phase::Draining && self.slots > 0
     }
 
-    /// Whether calls go to it in the ordinary way.
+    /// Whether the policies may choose it.
     pub(super) fn is_usable(&self, now: clock::Instant) -> bool {
         self.is_open() && self.health != view::Health::Unreachable && self.breaker.passes(now)
     }
 
-    /// How little there is to expect from it, for a choice among unusable ones.
-    pub(super) fn despair(&self) -> (view::Health, clock::Instant) {
+    /// Rank for the choice among upstreams that are not usable; the lowest is chosen.
+    pub(super) fn fallback_rank(&self) -> (view::Health, clock::Instant) {
         (self.health, self.breaker.opens())
     }
 
@@ -269,61 +278,65 @@
         self.breaker.started(&rules.breaker, now);
     }
 
-    /// Takes in the end of a call.
+    /// Records the end of a call.
     pub(super) fn ended(
         &mut self,
         report: &pick::Report,
-        crowd: &Crowd,
+        aggregate: &Aggregate,
         rules: &Rules,
         now: clock::Instant,
     ) {
         self.outstanding = self.outstanding.saturating_sub(1);
         if let Some(load) = report.load {
-            self.tell(load, now);
+            self.record_load(load, now);
         }
-        if let Some(pace) = report.relative_time {
+        if let Some(ratio) = report.relative_time {
             let known = self.relative_time(now);
-            self.relative_time = (known + (pace - known) / SMOOTHING, now);
+            self.relative_time = (known + (ratio - known) / SMOOTHING, now);
         }
         match verdict(report.outcome) {
-            Verdict::Good if self.is_slow(crowd, rules) => self.breaker.eject(&rules.breaker, now),
+            Verdict::Good if self.is_slow(aggregate, rules) => {
+                self.breaker.eject(&rules.breaker, now)
+            }
             Verdict::Good => self.breaker.success(),
-            Verdict::Bad if crowd.spare => self.breaker.failure(&rules.breaker, now),
-            Verdict::Gone => self.breaker.eject(&rules.breaker, now),
+            Verdict::Bad if aggregate.can_eject => self.breaker.failure(&rules.breaker, now),
+            Verdict::Unavailable => self.breaker.eject(&rules.breaker, now),
             Verdict::Bad | Verdict::None => {}
         }
     }
 
-    /// Whether it is ejected.
+    /// Whether its breaker is open.
     pub(super) fn is_ejected(&self) -> bool {
         self.breaker.is_open()
     }
 
-    fn is_slow(&self, crowd: &Crowd, rules: &Rules) -> bool {
-        let limit = crowd.service.map(|usual| usual * rules.slow + SLACK);
+    fn is_slow(&self, aggregate: &Aggregate, rules: &Rules) -> bool {
+        let limit = aggregate.service_us.map(|median| median * rules.slow_factor + SLOW_MARGIN_US);
         let slow = limit.zip(self.service_us()).is_some_and(|(limit, own)| own > limit);
-        slow && crowd.spare
+        slow && aggregate.can_eject
     }
 
-    fn tell(&mut self, load: admit::Load, now: clock::Instant) {
+    fn record_load(&mut self, load: admit::Load, now: clock::Instant) {
         let total = load.running.saturating_add(load.waiting);
         let others = total.saturating_sub(self.outstanding);
-        let fresh = f32::from(others);
-        let usual = self.told.map_or(fresh, |t| t.usual + (fresh - t.usual) / SMOOTHING);
-        self.told = Some(Told { others, total, usual, slots: load.slots, at: now });
+        let latest = f32::from(others);
+        let mean_others =
+            self.reported.map_or(latest, |r| r.mean_others + (latest - r.mean_others) / SMOOTHING);
+        self.reported =
+            Some(ReportedLoad { others, total, mean_others, slots: load.slots, at: now });
         self.service_us = load.service_us;
     }
 }
 
-/// What a result says of the upstream.
+/// What a result shows about the upstream.
 enum Verdict {
-    /// It serves.
+    /// The upstream serves.
     Good,
-    /// Something went wrong; enough of these in a row eject it.
+    /// A failure; enough consecutive ones eject the upstream.
     Bad,
-    /// It can't be reached or is leaving.
-    Gone,
-    /// Nothing.
+    /// The upstream can't be reached or drains; it is ejected at once.
+    Unavailable,
+    /// Nothing about the upstream.
     None,
 }
 
@@ -332,7 +345,7 @@
         return Verdict::Good;
     };
     match reason {
-        retry::Reason::Draining | retry::Reason::Unreachable => Verdict::Gone,
+        retry::Reason::Draining | retry::Reason::Unreachable => Verdict::Unavailable,
         retry::Reason::Cut
         | retry::Reason::Malformed
         | retry::Reason::NotReady
--- a/src/pick/picker.rs
+++ b/src/pick/picker.rs
@@ -1,4 +1,4 @@
-//! The picker of one entry.
+//! The picker of one entry node.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -15,29 +15,30 @@
 use crate::rollout;
 use crate::view;
 
-/// What a likely refusal weighs, in service times: as much as the toll of a light call. A zone that
-/// would refuse what another one can serve sends it there; heavy calls are worth less than the way.
-const REFUSAL: f32 = 2.0;
+/// Cost of a likely refusal, in service times: as much as the transfer of a light call to another
+/// zone. A light call that its zone would refuse is sent to another one; for a heavy call the
+/// transfer would cost more.
+const REFUSAL_COST: f32 = 2.0;
 
-/// Upstreams of a zone up to which the way to another one costs what the settings say: with one to three of
-/// them a price four times as high took up to 0.12 off what a deployment earns and added 0.01 at most, where
-/// with 18 it added 0.02 to 0.04 (full days on simulated hosts).
-const FEW_NEAR: f32 = 4.0;
+/// Upstreams of a zone up to which the transfer to another zone costs what the settings say. In
+/// zones of one to three upstreams a cost four times as high took up to 0.12 off what a deployment
+/// earns and added 0.01 at most; in zones of 18 it added 0.02 to 0.04.
+const SMALL_ZONE: f32 = 4.0;
 
-/// Most by which the way is dearer in a larger zone; reached with 16 upstreams.
-const MOST_WEIGHT: f32 = 4.0;
+/// Largest factor on the cost of transfers out of larger zones; reached with 16 upstreams.
+const MAX_ZONE_FACTOR: f32 = 4.0;
 
-/// One call in this many takes no heed of the distance, so that upstreams which are not in use
-/// are known for comparison.
-const EXPLORE: u32 = 200;
+/// One call in this many is sent to a farther tier first, so that upstreams which are not in use
+/// are measured, too.
+const EXPLORE_ONE_IN: u32 = 200;
 
-/// Chooses upstreams for the calls of one entry.
+/// Chooses upstreams for the calls of one entry node.
 ///
-/// Draining upstreams are never chosen. Unreachable and ejected ones are chosen only when there
-/// is nothing else, so that a mass fault never leaves a call without a candidate.
+/// Draining upstreams are never chosen. Unreachable and ejected ones are chosen only if there is no
+/// other, so that a fault of many upstreams never leaves a call without a candidate.
 #[derive(Debug)]
 pub struct Picker<P = pick::Cheapest> {
-    stand: table::Stand,
+    origin: table::Origin,
     policy: P,
     rules: peer::Rules,
     rng: rngs::SmallRng,
@@ -45,23 +46,23 @@
 }
 
 impl Picker {
-    /// A picker for the entry at `place`, with no upstream yet.
-    pub fn new(place: view::Locality, settings: &configs::call::Call, seed: u64) -> Self {
+    /// A picker for an entry node in `locality`, without upstreams.
+    pub fn new(locality: view::Locality, settings: &configs::call::Call, seed: u64) -> Self {
         let policy = pick::Cheapest { candidates: settings.candidates };
-        Self::with_policy(policy, place, settings, seed)
+        Self::with_policy(policy, locality, settings, seed)
     }
 }
 
 impl<P: pick::Policy> Picker<P> {
-    /// A picker that chooses by `policy`.
+    /// The same with a given `policy`.
     pub fn with_policy(
         policy: P,
-        place: view::Locality,
+        locality: view::Locality,
         settings: &configs::call::Call,
         seed: u64,
     ) -> Self {
         Self {
-            stand: table::Stand { locality: place, host: None },
+            origin: table::Origin { locality, host: None },
             policy,
             rules: peer::Rules::new(settings),
             rng: rngs::SmallRng::seed_from_u64(seed),
@@ -69,19 +70,18 @@
         }
     }
 
-    /// Tells `host`, the entry's own, apart from others of its zone: calls that stay on it pay
-    /// nothing for the way.
+    /// Sets the host of the entry node, so that calls which stay on it have no transfer cost.
     pub fn with_host(mut self, host: host::HostId) -> Self {
-        self.stand.host = Some(host);
+        self.origin.host = Some(host);
         self
     }
 
-    /// Takes in a new view or mesh without roll-outs; what is known of hosts that stay is kept.
+    /// Applies a new view or mesh without roll-outs; the state of hosts that stay is kept.
     pub fn rebuild(&mut self, view: &view::View, mesh: &mesh::Mesh, now: clock::Instant) {
         self.rebuild_with(view, mesh, &rollout::Table::default(), now);
     }
 
-    /// The same with the versions of upstreams told apart as `rollouts` says.
+    /// The same with upstreams grouped by version according to `rollouts`.
     pub fn rebuild_with(
         &mut self,
         view: &view::View,
@@ -89,11 +89,11 @@
         rollouts: &rollout::Table,
         now: clock::Instant,
     ) {
-        self.table.rebuild(view, mesh, rollouts, &self.stand, now);
+        self.table.rebuild(view, mesh, rollouts, &self.origin, now);
     }
 
-    /// Chooses the upstream for an attempt, none of `avoid` unless there is nothing else; `None`
-    /// when every upstream drains or there is none.
+    /// Chooses the upstream for an attempt. Hosts of `avoid` are chosen only if there is no other;
+    /// the result is `None` if there is no upstream or all of them drain.
     pub fn pick(
         &mut self,
         target: pick::Target,
@@ -103,138 +103,140 @@
         self.pick_with_cost(target, pick::TransferCost::FREE, now, avoid)
     }
 
-    /// The same for a call that pays `toll` outside its own availability zone.
+    /// The same for a call with a cost of transfer to other hosts and zones.
     ///
-    /// Heavy calls stay where they are until waiting there costs more than the way; light ones with
-    /// long work are what leaves a zone that is full.
+    /// Heavy calls stay in their zone until waiting there costs more than the transfer; light calls
+    /// that run long leave a full zone first.
     pub fn pick_with_cost(
         &mut self,
         target: pick::Target,
-        toll: pick::TransferCost,
+        cost: pick::TransferCost,
         now: clock::Instant,
         avoid: &[host::HostId],
     ) -> Option<pick::Choice> {
-        let toll = self.weigh(target, toll);
-        let usual = self.pick_usual(target, toll, now, avoid);
-        let (index, tier) = usual.or_else(|| self.pick_any(target, avoid))?;
+        let cost = self.scale_cost(target, cost);
+        let usable = self.pick_usable(target, cost, now, avoid);
+        let (index, tier) = usable.or_else(|| self.pick_fallback(target, avoid))?;
         let host = self.table.peers[index as usize].host();
         Some(pick::Choice {
             host,
             key: self.table.key(index),
-            same_zone: tier < table::FAR,
+            same_zone: tier < table::OTHER_ZONE,
             target,
         })
     }
 
-    /// Notes that an attempt at `choice` has started.
+    /// Records that an attempt at `choice` has started.
     pub fn started(&mut self, choice: pick::Choice, now: clock::Instant) {
         if let Some(peer) = self.table.peer_mut(choice.key) {
             peer.started(&self.rules, now);
         }
     }
 
-    /// Notes that an attempt at `choice` has ended; called once for each [`Picker::started`].
+    /// Records that an attempt at `choice` has ended; called once for each [`Picker::started`].
     pub fn ended(&mut self, choice: pick::Choice, report: &pick::Report, now: clock::Instant) {
         let good = report.outcome == retry::Outcome::Ran;
-        let crowd = self.table.crowd(choice.target, good);
+        let aggregate = self.table.aggregate(choice.target, good);
         let Some(peer) = self.table.peer_mut(choice.key) else { return };
         let before = peer.is_ejected();
-        peer.ended(report, &crowd, &self.rules, now);
+        peer.ended(report, &aggregate, &self.rules, now);
         if peer.is_ejected() != before {
-            self.table.turned();
+            self.table.record_ejection_change();
         }
     }
 
-    /// What is known of the upstream of `choice`; `None` when it is forgotten.
+    /// The state of the upstream of `choice`; `None` if it is no longer kept.
     pub fn peer(&mut self, choice: pick::Choice) -> Option<&pick::Peer> {
         self.table.peer_mut(choice.key).map(|peer| &*peer)
     }
 
-    /// The nearest tier's choice, unless it would wait where a farther one would not.
-    fn pick_usual(
+    /// The best choice of the nearest tier, unless the call would wait there and not in a farther
+    /// tier.
+    fn pick_usable(
         &mut self,
         target: pick::Target,
-        toll: pick::TransferCost,
+        cost: pick::TransferCost,
         now: clock::Instant,
         avoid: &[host::HostId],
     ) -> Option<(u32, usize)> {
         let mut best: Option<(u32, usize, f32)> = None;
         let mut waits = true;
-        // A heavy call is too dear to be sent away only to see what it is like there.
-        let light = toll.cross_zone < peer::WAITS;
-        let explores = light && self.rng.random_ratio(1, EXPLORE);
-        let first = if explores { table::FAR } else { 0 };
+        // The transfer of a heavy call costs too much for exploration.
+        let light = cost.cross_zone < peer::FULL;
+        let explores = light && self.rng.random_ratio(1, EXPLORE_ONE_IN);
+        let first = if explores { table::OTHER_ZONE } else { 0 };
         for tier in (first..table::TIERS).chain(0..first) {
-            let Some((index, there)) = self.pick_tier(target, tier, toll.inner, now, avoid) else {
+            let Some((index, own)) = self.pick_tier(target, tier, cost.inner, now, avoid) else {
                 continue;
             };
             let chosen = &self.table.peers[index as usize];
-            let way = self.way(chosen, tier, toll, now);
-            if best.is_none_or(|(_, _, least)| there + way < least) {
-                best = Some((index, tier, there + way));
-                waits = chosen.fullness(&self.rules, now) + way > peer::WAITS;
+            let extra = self.extra_cost(chosen, tier, cost, now);
+            if best.is_none_or(|(_, _, min)| own + extra < min) {
+                best = Some((index, tier, own + extra));
+                waits = chosen.fullness(&self.rules, now) + extra > peer::FULL;
             }
-            // While a slot is free nearby, even at a slow upstream, no call pays the way to a fast one
-            // farther off.
-            if tier >= table::AWAY && !waits {
+            // While a slot is free nearby, even at a slow upstream, no call is sent to a fast one
+            // farther away.
+            if tier >= table::OTHER_HOST && !waits {
                 break;
             }
         }
-        let (index, tier, least) = best?;
-        if tier < table::FAR || explores {
+        let (index, tier, min) = best?;
+        if tier < table::OTHER_ZONE || explores {
             return Some((index, tier));
         }
-        let near = self.search(target, toll, now, avoid).filter(|(_, _, cost)| *cost <= least);
+        let near = self.best_in_zone(target, cost, now, avoid).filter(|(_, _, cost)| *cost <= min);
         Some(near.map_or((index, tier), |(index, tier, _)| (index, tier)))
     }
 
-    /// The toll with the way to another zone as dear as the own one is large: the more upstreams share a
-    /// load, the less of it has to wait by chance while another one is free. In zones of 18 upstreams a
-    /// quarter to a third fewer bytes crossed and as many calls were served (full days of overload,
-    /// simulated hosts).
-    fn weigh(&self, target: pick::Target, toll: pick::TransferCost) -> pick::TransferCost {
+    /// Scales the cost of a transfer to another zone with the size of the own zone: the more
+    /// upstreams share a load, the fewer calls wait by chance while another upstream is free. In
+    /// zones of 18 upstreams a quarter to a third fewer bytes crossed the zone's border, and as
+    /// many calls were served.
+    fn scale_cost(&self, target: pick::Target, cost: pick::TransferCost) -> pick::TransferCost {
         let near = self
             .table
             .list(target)
-            .map_or(0, |list| (0..table::FAR).map(|tier| list.tier(tier).len()).sum());
-        let factor = (near as f32 / FEW_NEAR).clamp(1.0, MOST_WEIGHT);
-        pick::TransferCost { cross_zone: toll.cross_zone * factor, ..toll }
+            .map_or(0, |list| (0..table::OTHER_ZONE).map(|tier| list.tier(tier).len()).sum());
+        let factor = (near as f32 / SMALL_ZONE).clamp(1.0, MAX_ZONE_FACTOR);
+        pick::TransferCost { cross_zone: cost.cross_zone * factor, ..cost }
     }
 
-    /// The best of all upstreams in the availability zone, with its cost.
+    /// The best of all upstreams in the availability zone, with its tier and its cost.
     ///
-    /// A few of many are compared for each call; before one pays the way to another zone, all that are near
-    /// are: by a few alone calls left zones in which an upstream was free.
-    fn search(
+    /// For most calls only a few of many upstreams are compared. Before a call is sent to another
+    /// zone, all upstreams of the zone are, or else calls would leave zones in which an upstream is
+    /// free.
+    fn best_in_zone(
         &self,
         target: pick::Target,
-        toll: pick::TransferCost,
+        cost: pick::TransferCost,
         now: clock::Instant,
         avoid: &[host::HostId],
     ) -> Option<(u32, usize, f32)> {
         let list = self.table.list(target)?;
-        let near = (0..table::FAR).flat_map(|tier| {
-            let pool = self.pool(list, tier, toll.inner, now, avoid);
-            let usable = (0..pool.len()).filter(move |&place| pool.is_usable(place));
-            usable.map(move |place| {
-                let way = self.way(pool.peer(place), tier, toll, now);
-                (pool.members[place], tier, pool.cost(place) + way)
+        let near = (0..table::OTHER_ZONE).flat_map(|tier| {
+            let pool = self.pool(list, tier, cost.inner, now, avoid);
+            let usable = (0..pool.len()).filter(move |&i| pool.is_usable(i));
+            usable.map(move |i| {
+                let extra = self.extra_cost(pool.peer(i), tier, cost, now);
+                (pool.members[i], tier, pool.cost(i) + extra)
             })
         });
         near.min_by(|a, b| a.2.total_cmp(&b.2))
     }
 
-    /// What a call to `peer`, which stands in `tier`, costs beside its share of the slots: its toll, and
-    /// a likely refusal.
-    fn way(
+    /// What a call to `peer`, which is in `tier`, costs besides its share of the slots: the
+    /// transfer, and a likely refusal.
+    fn extra_cost(
         &self,
         peer: &pick::Peer,
         tier: usize,
-        toll: pick::TransferCost,
+        cost: pick::TransferCost,
         now: clock::Instant,
     ) -> f32 {
-        let refusal = if peer.brims(&self.rules, now) { REFUSAL } else { 0.0 };
-        refusal + toll.of(tier, peer.service_us())
+        let refusal = if peer.is_saturated(&self.rules, now) { REFUSAL_COST } else { 0.0 };
+        refusal + cost.for_tier(tier, peer.service_us())
     }
 
     /// The candidates of a call in `tier` of `list`.
@@ -250,6 +252,7 @@
         pick::Pool { peers, members, rules: &self.rules, avoid, now, inner }
     }
 
+    /// The choice of the policy in `tier`, with its cost without the transfer.
     fn pick_tier(
         &mut self,
         target: pick::Target,
@@ -260,22 +263,22 @@
     ) -> Option<(u32, f32)> {
         let list = self.table.list(target)?;
         let members = list.tier(tier);
-        let mut turn = list.turns[tier];
+        let mut cursor = list.cursors[tier];
         let pool =
             pick::Pool { peers: &self.table.peers, members, rules: &self.rules, avoid, now, inner };
-        let place = self.policy.choose(&pool, &mut turn, &mut self.rng)?;
-        let chosen = (members[place], pool.cost(place));
-        self.table.list_mut(target)?.turns[tier] = turn;
+        let index = self.policy.choose(&pool, &mut cursor, &mut self.rng)?;
+        let chosen = (members[index], pool.cost(index));
+        self.table.list_mut(target)?.cursors[tier] = cursor;
         Some(chosen)
     }
 
-    /// The least hopeless of the upstreams that do not drain.
-    fn pick_any(&self, target: pick::Target, avoid: &[host::HostId]) -> Option<(u32, usize)> {
+    /// The upstream with the lowest fallback rank among those that do not drain.
+    fn pick_fallback(&self, target: pick::Target, avoid: &[host::HostId]) -> Option<(u32, usize)> {
         let peers = &self.table.peers;
         let open = self.table.list(target)?.all().iter().copied();
         let index = open.filter(|&i| peers[i as usize].is_open()).min_by_key(|&i| {
             let peer = &peers[i as usize];
-            (avoid.contains(&peer.host()), peer.despair(), peer.outstanding())
+            (avoid.contains(&peer.host()), peer.fallback_rank(), peer.outstanding())
         })?;
         Some((index, table::TIERS))
     }
--- a/src/pick/policy.rs
+++ b/src/pick/policy.rs
@@ -1,4 +1,4 @@
-//! Policies of choice.
+//! Policies that choose an upstream.
 
 use rand::RngExt;
 use rand::rngs;
@@ -7,10 +7,10 @@
 use crate::pick::pool;
 use crate::pick::table;
 
-/// Random tries for a usable candidate before the list is walked.
-const TRIES: usize = 4;
+/// Random samples before the list is searched for a usable candidate.
+const MAX_SAMPLES: usize = 4;
 
-/// Each in turn.
+/// Chooses each upstream in turn.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoundRobin;
 
@@ -18,16 +18,17 @@
     fn choose(
         &self,
         pool: &pick::Pool<'_>,
-        turn: &mut table::Turn,
+        cursor: &mut table::Cursor,
         _rng: &mut rngs::SmallRng,
     ) -> Option<usize> {
-        let place = walk(pool, turn.next(pool.len()))?;
-        turn.set(place + 1);
-        Some(place)
+        let index = first_usable(pool, cursor.next(pool.len()))?;
+        cursor.set(index + 1);
+        Some(index)
     }
 }
 
-/// The one with the fewest own outstanding calls; among equals, each in turn.
+/// Chooses the upstream with the fewest outstanding calls of this node; among equals, each in
+/// turn.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastOutstanding;
 
@@ -35,17 +36,17 @@
     fn choose(
         &self,
         pool: &pick::Pool<'_>,
-        turn: &mut table::Turn,
+        cursor: &mut table::Cursor,
         _rng: &mut rngs::SmallRng,
     ) -> Option<usize> {
-        let start = turn.next(pool.len());
-        let place = places(pool, start).min_by_key(|&p| pool.peer(p).outstanding())?;
-        turn.set(place + 1);
-        Some(place)
+        let start = cursor.next(pool.len());
+        let index = usable(pool, start).min_by_key(|&i| pool.peer(i).outstanding())?;
+        cursor.set(index + 1);
+        Some(index)
     }
 }
 
-/// Two at random, the one with fewer own outstanding calls.
+/// Chooses two upstreams at random, and of these the one with fewer outstanding calls of this node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PowerOfTwo;
 
@@ -53,7 +54,7 @@
     fn choose(
         &self,
         pool: &pick::Pool<'_>,
-        _turn: &mut table::Turn,
+        _cursor: &mut table::Cursor,
         rng: &mut rngs::SmallRng,
     ) -> Option<usize> {
         let first = sample(pool, rng)?;
@@ -63,8 +64,8 @@
     }
 }
 
-/// The one with the most slots free by its last report, as the paper has it: reports are believed
-/// however old they are, the first of equals is taken, and none is when no slot is free.
+/// Chooses the upstream with the most free slots by its last report, as the paper describes it:
+/// reports count however old they are, the first of equals is chosen, and none if no slot is free.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RemainingCapacity;
 
@@ -72,23 +73,24 @@
     fn choose(
         &self,
         pool: &pick::Pool<'_>,
-        _turn: &mut table::Turn,
+        _cursor: &mut table::Cursor,
         _rng: &mut rngs::SmallRng,
     ) -> Option<usize> {
-        let free = |place: &usize| {
-            let peer = pool.peer(*place);
+        let free = |index: &usize| {
+            let peer = pool.peer(*index);
             peer.slots().saturating_sub(peer.reported_calls())
         };
-        let place = places(pool, 0).rev().max_by_key(free)?;
-        (free(&place) > 0).then_some(place)
+        let index = usable(pool, 0).rev().max_by_key(free)?;
+        (free(&index) > 0).then_some(index)
     }
 }
 
-/// A few at random, the one with the least of its slots taken by own calls and by the load that
-/// came back with answers, weighed by its age.
+/// Chooses a few upstreams at random, and of these the one with the lowest cost: the share of its
+/// slots that is taken by calls of this node and by the load that it reported, weighted by the age
+/// of the report.
 #[derive(Clone, Copy, Debug)]
 pub struct Cheapest {
-    /// Candidates compared.
+    /// Number of candidates to compare.
     pub candidates: u8,
 }
 
@@ -102,49 +104,49 @@
     fn choose(
         &self,
         pool: &pick::Pool<'_>,
-        turn: &mut table::Turn,
+        cursor: &mut table::Cursor,
         rng: &mut rngs::SmallRng,
     ) -> Option<usize> {
         let len = pool.len();
         if len == 0 {
             return None;
         }
-        let start = turn.next(len);
+        let start = cursor.next(len);
         let stride = if len > 1 { rng.random_range(1..len) } else { 0 };
-        let mut best = walk(pool, start)?;
-        turn.set(best + 1);
-        let mut least = pool.cost(best);
+        let mut best = first_usable(pool, start)?;
+        cursor.set(best + 1);
+        let mut min = pool.cost(best);
         for step in 1..usize::from(self.candidates).min(len) {
-            let place = walk(pool, (start + step * stride) % len)?;
-            let cost = pool.cost(place);
-            if cost < least {
-                (best, least) = (place, cost);
+            let index = first_usable(pool, (start + step * stride) % len)?;
+            let cost = pool.cost(index);
+            if cost < min {
+                (best, min) = (index, cost);
             }
         }
         Some(best)
     }
 }
 
-/// The usable places from `start` on, around the list.
-fn places(pool: &pick::Pool<'_>, start: usize) -> impl DoubleEndedIterator<Item = usize> {
-    (start..pool.len()).chain(0..start).filter(|&p| pool.is_usable(p))
+/// The indices of usable upstreams from `start` on, around the list.
+fn usable(pool: &pick::Pool<'_>, start: usize) -> impl DoubleEndedIterator<Item = usize> {
+    (start..pool.len()).chain(0..start).filter(|&i| pool.is_usable(i))
 }
 
-/// The first usable place from `start` on.
-fn walk(pool: &pick::Pool<'_>, start: usize) -> Option<usize> {
-    places(pool, start).next()
+/// The index of the first usable upstream from `start` on.
+fn first_usable(pool: &pick::Pool<'_>, start: usize) -> Option<usize> {
+    usable(pool, start).next()
 }
 
-/// A usable place at random.
+/// The index of a usable upstream at random.
 fn sample(pool: &pick::Pool<'_>, rng: &mut rngs::SmallRng) -> Option<usize> {
     if pool.is_empty() {
         return None;
     }
-    for _ in 0..TRIES {
-        let place = rng.random_range(0..pool.len());
-        if pool.is_usable(place) {
-            return Some(place);
+    for _ in 0..MAX_SAMPLES {
+        let index = rng.random_range(0..pool.len());
+        if pool.is_usable(index) {
+            return Some(index);
         }
     }
-    walk(pool, rng.random_range(0..pool.len()))
+    first_usable(pool, rng.random_range(0..pool.len()))
 }
--- a/src/pick/pool.rs
+++ b/src/pick/pool.rs
@@ -8,7 +8,7 @@
 use crate::pick::peer;
 use crate::pick::table;
 
-/// The upstreams of one list that stand equally far.
+/// The upstreams of one list that are in the same tier of distance.
 #[derive(Clone, Copy)]
 pub struct Pool<'a> {
     pub(super) peers: &'a [pick::Peer],
@@ -16,7 +16,7 @@
     pub(super) rules: &'a peer::Rules,
     pub(super) avoid: &'a [host::HostId],
     pub(super) now: clock::Instant,
-    /// Whether the call goes before new work.
+    /// Whether the call runs before new work at the upstream.
     pub(super) inner: bool,
 }
 
@@ -26,35 +26,36 @@
         self.members.len()
     }
 
-    /// Whether there are none.
+    /// Whether the pool has no upstreams.
     pub const fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// The upstream at `place`, which is below [`Pool::len`].
-    pub fn peer(&self, place: usize) -> &pick::Peer {
-        &self.peers[self.members[place] as usize]
+    /// The upstream at `index`, which is below [`Pool::len`].
+    pub fn peer(&self, index: usize) -> &pick::Peer {
+        &self.peers[self.members[index] as usize]
     }
 
-    /// Whether the upstream at `place` may be chosen.
-    pub fn is_usable(&self, place: usize) -> bool {
-        let peer = self.peer(place);
+    /// Whether the upstream at `index` may be chosen.
+    pub fn is_usable(&self, index: usize) -> bool {
+        let peer = self.peer(index);
         peer.is_usable(self.now) && !self.avoid.contains(&peer.host())
     }
 
-    /// What a call would cost at `place`, in the usual service times of its kind.
-    pub fn cost(&self, place: usize) -> f32 {
-        self.peer(place).cost(self.inner, self.rules, self.now)
+    /// What a call would cost at `index`, in mean service times of its kind.
+    pub fn cost(&self, index: usize) -> f32 {
+        self.peer(index).cost(self.inner, self.rules, self.now)
     }
 }
 
-/// A way to choose among the candidates of a call.
+/// A policy that chooses among the candidates of a call.
 pub trait Policy {
-    /// Chooses a usable upstream's place; `None` when there is none. `turn` is kept for the list.
+    /// Chooses the index of a usable upstream; `None` if there is none. `cursor` is kept between
+    /// the calls for one list.
     fn choose(
         &self,
         pool: &Pool<'_>,
-        turn: &mut table::Turn,
+        cursor: &mut table::Cursor,
         rng: &mut rngs::SmallRng,
     ) -> Option<usize>;
 }
--- a/src/pick/table.rs
+++ b/src/pick/table.rs
@@ -10,69 +10,70 @@
 use crate::rollout;
 use crate::view;
 
-/// How many distances are told apart: own host, own availability zone, own region, elsewhere.
+/// Number of tiers of distance: own host, own availability zone, own region, other regions.
 pub(super) const TIERS: usize = 4;
 
-/// The first distance that is not the own host.
-pub(super) const AWAY: usize = 1;
+/// The first tier beyond the own host.
+pub(super) const OTHER_HOST: usize = 1;
 
-/// The first distance beyond the own availability zone.
-pub(super) const FAR: usize = 2;
+/// The first tier beyond the own availability zone.
+pub(super) const OTHER_ZONE: usize = 2;
 
-/// Where the entry stands.
+/// Location of the entry node.
 #[derive(Clone, Debug)]
-pub(super) struct Stand {
+pub(super) struct Origin {
     pub(super) locality: view::Locality,
-    /// Its host, if that is told apart from others of the zone.
+    /// Host of the entry node; `None` if it is not distinguished from other hosts of the zone.
     pub(super) host: Option<host::HostId>,
 }
 
-impl Stand {
+impl Origin {
+    /// The tier of distance to `other`.
     fn tier(&self, other: &view::Host) -> usize {
         let (theirs, ours) = (&other.locality, &self.locality);
         match (theirs.region == ours.region, theirs.zone == ours.zone) {
             (true, true) if self.host == Some(other.id) => 0,
-            (true, true) => AWAY,
-            (true, false) => FAR,
-            (false, _) => FAR + 1,
+            (true, true) => OTHER_HOST,
+            (true, false) => OTHER_ZONE,
+            (false, _) => OTHER_ZONE + 1,
         }
     }
 }
 
-/// Place at which a policy that goes round a list stands.
+/// Position of a policy that goes round a list.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Turn(u32);
+pub struct Cursor(u32);
 
-impl Turn {
-    /// The place whose turn it is in a list of `len`.
+impl Cursor {
+    /// The index whose turn it is in a list of `len`.
     pub const fn next(&self, len: usize) -> usize {
         if len == 0 { 0 } else { self.0 as usize % len }
     }
 
-    /// Sets the place whose turn is next.
-    pub fn set(&mut self, place: usize) {
-        self.0 = u32::try_from(place).unwrap_or_default();
+    /// Sets the index whose turn is next.
+    pub fn set(&mut self, index: usize) {
+        self.0 = u32::try_from(index).unwrap_or_default();
     }
 }
 
-/// Results after which what the crowd says is looked at again.
-const FRESH: u8 = 16;
+/// Results after which the aggregate of a list is computed again.
+const AGGREGATE_RESULTS: u8 = 16;
 
 /// The upstreams of one service or class.
 #[derive(Clone, Debug, Default)]
 pub(super) struct List {
     /// Indices into the arena of peers, nearest tier first.
     members: Vec<u32>,
-    /// Where each tier ends in `members`; never falls.
+    /// End of each tier in `members`, in ascending order.
     ends: [usize; TIERS],
-    /// A turn for each tier.
-    pub(super) turns: [Turn; TIERS],
-    crowd: peer::Crowd,
-    /// Turns of the table when `crowd` was made.
-    turned: u32,
-    /// Results until `crowd` is made anew.
+    /// A cursor for each tier.
+    pub(super) cursors: [Cursor; TIERS],
+    aggregate: peer::Aggregate,
+    /// [`Table::ejection_changes`] when `aggregate` was computed.
+    computed_at: u32,
+    /// Results until `aggregate` is computed again.
     fresh: u8,
-    /// Scratch room for the median.
+    /// Buffer for the median.
     services: Vec<f32>,
 }
 
@@ -88,26 +89,31 @@
         &self.members
     }
 
-    /// What the members say, looked at again after every few results and every bad one, and once the table
-    /// has `turned` since.
-    pub(super) fn crowd(&mut self, peers: &[pick::Peer], good: bool, turned: u32) -> peer::Crowd {
-        if !good || self.fresh == 0 || self.turned != turned {
-            self.turned = turned;
-            self.crowd = self.survey(peers);
-            self.fresh = FRESH;
+    /// The aggregate of the members. It is computed again after every few results, after every bad
+    /// one, and if `ejection_changes` has changed.
+    pub(super) fn aggregate(
+        &mut self,
+        peers: &[pick::Peer],
+        good: bool,
+        ejection_changes: u32,
+    ) -> peer::Aggregate {
+        if !good || self.fresh == 0 || self.computed_at != ejection_changes {
+            self.computed_at = ejection_changes;
+            self.aggregate = self.compute(peers);
+            self.fresh = AGGREGATE_RESULTS;
         }
         self.fresh -= 1;
-        self.crowd
+        self.aggregate
     }
 
-    fn survey(&mut self, peers: &[pick::Peer]) -> peer::Crowd {
+    fn compute(&mut self, peers: &[pick::Peer]) -> peer::Aggregate {
         let members = || self.members.iter().map(|&i| &peers[i as usize]);
         let ejected = members().filter(|p| p.is_ejected()).count();
-        let spare = (ejected + 1) * 2 <= self.members.len();
+        let can_eject = (ejected + 1) * 2 <= self.members.len();
         self.services.clear();
         let known = self.members.iter().filter_map(|&i| peers[i as usize].service_us());
         self.services.extend(known);
-        peer::Crowd { service: lower_median(&mut self.services), spare }
+        peer::Aggregate { service_us: lower_median(&mut self.services), can_eject }
     }
 
     fn clear(&mut self) {
@@ -122,47 +128,47 @@
     }
 }
 
-/// Peers and lists, made anew from view and mesh; a peer's state outlives it.
+/// Peers and lists. The lists are built again for each view and mesh; the state of a peer is kept.
 #[derive(Debug, Default)]
 pub(super) struct Table {
     pub(super) peers: Vec<pick::Peer>,
     free: Vec<u32>,
     by_host: collections::HashMap<host::HostId, u32>,
-    services: Vec<Sides>,
-    classes: Vec<Sides>,
-    /// How often a peer was ejected or has come back.
-    turned: u32,
+    services: Vec<Groups>,
+    classes: Vec<Groups>,
+    /// How often a peer was ejected or admitted again.
+    ejection_changes: u32,
 }
 
-/// The upstreams of one service or class, by the versions that may run a call.
+/// The upstreams of one service or class, by version group.
 #[derive(Clone, Debug, Default)]
-struct Sides {
+struct Groups {
     any: List,
     new: List,
     old: List,
 }
 
-impl Sides {
-    const fn list(&self, side: rollout::VersionGroup) -> &List {
-        match side {
+impl Groups {
+    const fn list(&self, group: rollout::VersionGroup) -> &List {
+        match group {
             rollout::VersionGroup::Any => &self.any,
             rollout::VersionGroup::New => &self.new,
             rollout::VersionGroup::Old => &self.old,
         }
     }
 
-    const fn list_mut(&mut self, side: rollout::VersionGroup) -> &mut List {
-        match side {
+    const fn list_mut(&mut self, group: rollout::VersionGroup) -> &mut List {
+        match group {
             rollout::VersionGroup::Any => &mut self.any,
             rollout::VersionGroup::New => &mut self.new,
             rollout::VersionGroup::Old => &mut self.old,
         }
     }
 
-    /// Adds a peer of the versions `side`.
-    fn push(&mut self, side: rollout::VersionGroup, index: u32, tier: usize) {
-        if side != rollout::VersionGroup::Any {
-            self.list_mut(side).push(index, tier);
+    /// Adds a peer of the version group `group`.
+    fn push(&mut self, group: rollout::VersionGroup, index: u32, tier: usize) {
+        if group != rollout::VersionGroup::Any {
+            self.list_mut(group).push(index, tier);
         }
         self.any.push(index, tier);
     }
@@ -177,35 +183,36 @@
 impl Table {
     /// The list that serves `target`.
     pub(super) fn list(&self, target: pick::Target) -> Option<&List> {
-        let sides = match target.class {
+        let groups = match target.class {
             Some(class) => self.classes.get(usize::from(class.0)),
             None => self.services.get(usize::from(target.service.0)),
         };
-        sides.map(|sides| sides.list(target.group))
+        groups.map(|groups| groups.list(target.group))
     }
 
-    /// The list that serves `target`, to move its turns.
+    /// The list that serves `target`, to move its cursors.
     pub(super) fn list_mut(&mut self, target: pick::Target) -> Option<&mut List> {
-        let sides = match target.class {
+        let groups = match target.class {
             Some(class) => self.classes.get_mut(usize::from(class.0)),
             None => self.services.get_mut(usize::from(target.service.0)),
         };
-        sides.map(|sides| sides.list_mut(target.group))
+        groups.map(|groups| groups.list_mut(target.group))
     }
 
-    /// What the peers that serve `target` say.
-    pub(super) fn crowd(&mut self, target: pick::Target, good: bool) -> peer::Crowd {
-        let sides = match target.class {
+    /// The aggregate of the peers that serve `target`.
+    pub(super) fn aggregate(&mut self, target: pick::Target, good: bool) -> peer::Aggregate {
+        let groups = match target.class {
             Some(class) => self.classes.get_mut(usize::from(class.0)),
             None => self.services.get_mut(usize::from(target.service.0)),
         };
-        let list = sides.map(|sides| sides.list_mut(target.group));
-        list.map(|l| l.crowd(&self.peers, good, self.turned)).unwrap_or_default()
+        let list = groups.map(|groups| groups.list_mut(target.group));
+        list.map(|l| l.aggregate(&self.peers, good, self.ejection_changes)).unwrap_or_default()
     }
 
-    /// Notes that a peer was ejected or has come back: how many are left is another number in every list.
-    pub(super) const fn turned(&mut self) {
-        self.turned = self.turned.wrapping_add(1);
+    /// Records that a peer was ejected or admitted again, which changes the aggregates of its
+    /// lists.
+    pub(super) const fn record_ejection_change(&mut self) {
+        self.ejection_changes = self.ejection_changes.wrapping_add(1);
     }
 
     /// The key of the peer at `index`.
@@ -213,25 +220,25 @@
         pick::PeerKey { index, generation: self.peers[index as usize].generation() }
     }
 
-    /// The peer of `key`, unless the key is void.
+    /// The peer of `key`; `None` if the key is no longer valid.
     pub(super) fn peer_mut(&mut self, key: pick::PeerKey) -> Option<&mut pick::Peer> {
         let peer = self.peers.get_mut(key.index as usize)?;
         (peer.generation() == key.generation).then_some(peer)
     }
 
-    /// Takes in a new view or mesh.
+    /// Builds the lists again for a new view or mesh.
     pub(super) fn rebuild(
         &mut self,
         view: &view::View,
         mesh: &mesh::Mesh,
         rollouts: &rollout::Table,
-        stand: &Stand,
+        origin: &Origin,
         now: clock::Instant,
     ) {
         self.reset(mesh);
         for (key, class) in mesh.classes.iter().enumerate() {
             let service = mesh.service(class.service);
-            let mut sides = rollouts.classifier(&service.name, now);
+            let mut classifier = rollouts.classifier(&service.name, now);
             for host in view.upstreams(&service.name) {
                 let Some(upstream) = &host.upstream else { continue };
                 if upstream.class != class.name {
@@ -240,25 +247,25 @@
                 let index = self.index(host.id);
                 let peer = &mut self.peers[index as usize];
                 peer.update(host, upstream, class.slots, service.queue, class.warmup, now);
-                let tier = stand.tier(host);
+                let tier = origin.tier(host);
                 let open =
                     host.health == view::Health::Alive && upstream.phase != view::Phase::Draining;
-                let Some(side) = sides.group_of(&upstream.version, open) else { continue };
-                self.classes[key].push(side, index, tier);
-                self.services[usize::from(class.service.0)].push(side, index, tier);
+                let Some(group) = classifier.group_of(&upstream.version, open) else { continue };
+                self.classes[key].push(group, index, tier);
+                self.services[usize::from(class.service.0)].push(group, index, tier);
             }
         }
         self.sweep();
     }
 
     fn reset(&mut self, mesh: &mesh::Mesh) {
-        self.services.resize_with(mesh.services.len(), Sides::default);
-        self.classes.resize_with(mesh.classes.len(), Sides::default);
-        self.services.iter_mut().chain(&mut self.classes).for_each(Sides::clear);
+        self.services.resize_with(mesh.services.len(), Groups::default);
+        self.classes.resize_with(mesh.classes.len(), Groups::default);
+        self.services.iter_mut().chain(&mut self.classes).for_each(Groups::clear);
         self.peers.iter_mut().for_each(|p| p.listed = false);
     }
 
-    /// Frees the peers that have left and have no call any more.
+    /// Frees the peers that are no longer listed and have no outstanding calls.
     fn sweep(&mut self) {
         let (peers, free) = (&mut self.peers, &mut self.free);
         self.by_host.retain(|_, index| {
@@ -272,6 +279,7 @@
         });
     }
 
+    /// The index of the peer of `host`, which is created if there is none.
     fn index(&mut self, host: host::HostId) -> u32 {
         if let Some(&index) = self.by_host.get(&host) {
             return index;
@@ -292,7 +300,7 @@
     }
 }
 
-/// The lower median of `values`; `None` below two.
+/// The lower median of `values`; `None` if there are fewer than two.
 fn lower_median(values: &mut [f32]) -> Option<f32> {
     if values.len() < 2 {
         return None;
--- a/src/pick/tests.rs
+++ b/src/pick/tests.rs
@@ -21,7 +21,7 @@
 
 const SHOP: pick::Target =
     pick::Target { service: mesh::ServiceKey(0), class: None, group: rollout::VersionGroup::Any };
-const GONE: retry::Outcome = retry::Outcome::NotRun(retry::Reason::Unreachable);
+const UNREACHABLE: retry::Outcome = retry::Outcome::NotRun(retry::Reason::Unreachable);
 
 fn at(millis: u64) -> clock::Instant {
     clock::Instant::from_millis(millis)
@@ -31,7 +31,7 @@
     host::HostId::new(net::SocketAddr::from(([127, 0, 0, number], 7100)))
 }
 
-fn place(zone: &str) -> view::Locality {
+fn locality(zone: &str) -> view::Locality {
     view::Locality { region: SmolStr::new_static("north"), zone: SmolStr::new(zone) }
 }
 
@@ -48,7 +48,7 @@
     };
     view::Host {
         id: id(number),
-        locality: Arc::new(place(zone)),
+        locality: Arc::new(locality(zone)),
         incarnation: 1,
         health: view::Health::Alive,
         upstream: Some(Arc::new(upstream)),
@@ -87,9 +87,9 @@
     mesh
 }
 
-/// A picker in zone a that knows `hosts`.
+/// A picker of an entry node in zone a, with `hosts`.
 fn picker(hosts: Vec<view::Host>) -> pick::Picker {
-    let mut picker = pick::Picker::new(place("a"), &configs::call::Call::default(), 7);
+    let mut picker = pick::Picker::new(locality("a"), &configs::call::Call::default(), 7);
     rebuild(&mut picker, hosts, 0);
     picker
 }
@@ -98,13 +98,13 @@
     picker.rebuild(&view::View::new(hosts), &shop(), at(millis));
 }
 
-fn report(outcome: retry::Outcome, service: u32) -> pick::Report {
-    let load = admit::Load { running: 0, waiting: 0, slots: 9, service_us: service };
-    let load = (outcome != GONE).then_some(load);
+fn report(outcome: retry::Outcome, service_us: u32) -> pick::Report {
+    let load = admit::Load { running: 0, waiting: 0, slots: 9, service_us };
+    let load = (outcome != UNREACHABLE).then_some(load);
     pick::Report { outcome, load, relative_time: None, latency: time::Duration::from_millis(1) }
 }
 
-/// One call that ends at once with `outcome`; the host that was picked.
+/// Makes a call that ends at once with `outcome`, and returns the host that was picked.
 fn call(picker: &mut pick::Picker, outcome: retry::Outcome, millis: u64) -> host::HostId {
     let choice = picker.pick(SHOP, at(millis), &[]).expect("a choice");
     picker.started(choice, at(millis));
@@ -112,7 +112,7 @@
     choice.host
 }
 
-/// How often each host was picked for `calls` calls that take no time.
+/// How often each host is picked for `calls` calls that end at once.
 fn share(picker: &mut pick::Picker, calls: u32, millis: u64) -> collections::HashMap<u8, u32> {
     let mut share = collections::HashMap::new();
     for _ in 0..calls {
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn an_unreachable_upstream_is_picked_only_when_there_is_nothing_else() {
+fn an_unreachable_upstream_is_picked_only_if_there_is_no_other() {
     let mut hosts = serving(&["a", "b"]);
     hosts[0].health = view::Health::Unreachable;
     let mut picker = picker(hosts.clone());
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn own_zone_goes_first_until_it_costs_waiting() {
+fn calls_stay_in_their_zone_until_they_would_wait() {
     let mut picker = picker(serving(&["a", "b", "b"]));
     let near = share(&mut picker, 1000, 0)[&1];
     assert!(near > 980, "{near} of 1000 calls stayed in the zone");
@@ -157,20 +157,20 @@
             break;
         }
     }
-    assert_eq!(started, 9, "calls in the zone before one went farther");
+    assert_eq!(started, 9, "calls in the zone before one left it");
 }
 
 #[test]
-fn a_dead_upstream_is_left_alone_and_probed_later_and_later() {
+fn an_unreachable_upstream_is_ejected_and_probed_at_growing_intervals() {
     let mut picker = picker(serving(&["a", "a", "a"]));
     let mut picked = Vec::new();
     for millis in 0..20_000 {
         let choice = picker.pick(SHOP, at(millis), &[]).expect("a choice");
         picker.started(choice, at(millis));
-        let dead = choice.host == id(1);
-        let outcome = if dead { GONE } else { retry::Outcome::Ran };
+        let unreachable = choice.host == id(1);
+        let outcome = if unreachable { UNREACHABLE } else { retry::Outcome::Ran };
         picker.ended(choice, &report(outcome, 1000), at(millis));
-        picked.extend(dead.then_some(millis));
+        picked.extend(unreachable.then_some(millis));
     }
     assert!((4..=7).contains(&picked.len()), "{picked:?}");
     let gaps: Vec<u64> = picked.windows(2).map(|w| w[1] - w[0]).collect();
@@ -178,17 +178,17 @@
 }
 
 #[test]
-fn a_mass_fault_never_leaves_a_call_without_a_candidate() {
+fn a_fault_of_all_upstreams_never_leaves_a_call_without_a_candidate() {
     let mut picker = picker(serving(&["a", "a", "a", "a"]));
     for millis in 0..100 {
-        call(&mut picker, GONE, millis);
+        call(&mut picker, UNREACHABLE, millis);
     }
     let after = share(&mut picker, 400, 60_000);
-    assert_eq!(after.len(), 4, "all come back once they serve: {after:?}");
+    assert_eq!(after.len(), 4, "all get calls again once they serve: {after:?}");
 }
 
 #[test]
-fn suspicion_ejects_at_most_half() {
+fn failures_eject_at_most_half_of_the_upstreams() {
     let mut picker = picker(serving(&["a", "a", "a", "a"]));
     for _ in 0..100 {
         call(&mut picker, retry::Outcome::Unknown(retry::Reason::Timeout), 0);
@@ -196,9 +196,10 @@
     assert_eq!(share(&mut picker, 100, 1).len(), 2);
 }
 
-/// Guards against the ejection of the last upstream, on what was known before the others were.
+/// Guards against the ejection of the last upstream because of an aggregate from before the
+/// ejection of the others.
 #[test]
-fn suspicion_ejects_nobody_once_half_are_gone() {
+fn slowness_ejects_no_upstream_once_half_are_ejected() {
     let mut picker = picker(serving(&["a", "a"]));
     for number in [1, 2] {
         let other = [id(3 - number)];
@@ -207,17 +208,17 @@
         let slow = if number == 2 { 100_000 } else { 400 };
         picker.ended(choice, &report(retry::Outcome::Ran, slow), at(0));
     }
-    let leaving = picker.pick(SHOP, at(1), &[id(2)]).expect("one");
-    picker.started(leaving, at(1));
-    let left = retry::Outcome::NotRun(retry::Reason::Draining);
-    picker.ended(leaving, &report(left, 400), at(1));
+    let draining = picker.pick(SHOP, at(1), &[id(2)]).expect("one");
+    picker.started(draining, at(1));
+    let refusal = retry::Outcome::NotRun(retry::Reason::Draining);
+    picker.ended(draining, &report(refusal, 400), at(1));
     for millis in 2..60 {
         let choice = picker.pick(SHOP, at(millis), &[]).expect("one");
         assert_eq!(choice.host, id(2));
         picker.started(choice, at(millis));
         picker.ended(choice, &report(retry::Outcome::Ran, 100_000), at(millis));
         let peer = picker.peer(choice).expect("known");
-        assert!(!peer.is_ejected(), "the last one is ejected as slow");
+        assert!(!peer.is_ejected(), "the last upstream is ejected as slow");
     }
 }
 
@@ -228,11 +229,11 @@
     for millis in 0..1000 {
         let choice = picker.pick(SHOP, at(millis), &[]).expect("a choice");
         picker.started(choice, at(millis));
-        let service = if choice.host == id(1) { 10_000 } else { 1000 };
-        picker.ended(choice, &report(retry::Outcome::Ran, service), at(millis));
+        let service_us = if choice.host == id(1) { 10_000 } else { 1000 };
+        picker.ended(choice, &report(retry::Outcome::Ran, service_us), at(millis));
         slow += u32::from(choice.host == id(1));
     }
-    assert!(slow < 20, "{slow} of 1000 calls went to the slow one");
+    assert!(slow < 20, "{slow} of 1000 calls went to the slow upstream");
 }
 
 #[test]
@@ -258,10 +259,10 @@
 }
 
 #[test]
-fn what_is_known_of_a_host_outlives_a_rebuild_but_not_its_life() {
+fn the_state_of_a_host_outlives_a_rebuild_but_not_a_restart() {
     let mut hosts = serving(&["a", "a"]);
     let mut picker = picker(hosts.clone());
-    while call(&mut picker, GONE, 0) != id(1) {}
+    while call(&mut picker, UNREACHABLE, 0) != id(1) {}
     rebuild(&mut picker, hosts.clone(), 1);
     assert_eq!(share(&mut picker, 50, 1).get(&1), None);
     hosts[0].incarnation = 2;
@@ -271,8 +272,8 @@
 
 #[rstest]
 #[case::avoided(&[1], 2)]
-#[case::nothing_else(&[1, 2], 2)]
-fn a_host_to_avoid_is_avoided_where_there_is_another(#[case] avoid: &[u8], #[case] hosts: usize) {
+#[case::no_other(&[1, 2], 2)]
+fn a_host_to_avoid_is_picked_only_if_there_is_no_other(#[case] avoid: &[u8], #[case] hosts: usize) {
     let mut picker = picker(serving(&["a", "a"]));
     let avoid: Vec<host::HostId> = avoid.iter().copied().map(id).collect();
     for _ in 0..50 {
@@ -285,7 +286,7 @@
 enum Step {
     Pick,
     End(prop::sample::Index, bool),
-    /// Each host is there, drains, or is gone, by two bits.
+    /// Two bits for each host: it serves, drains, or has left.
     Rebuild(u16),
     Pass(u64),
 }
@@ -315,15 +316,15 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(256))]
 
-    /// A choice is always listed and never drains, there is one whenever there can be, and own
-    /// calls are counted exactly across rebuilds.
+    /// A choice is always listed and never drains, there is one whenever an upstream is open, and
+    /// the calls of the node are counted exactly across rebuilds.
     #[test]
-    fn choices_are_sound_and_calls_are_counted(
+    fn choices_are_open_and_calls_are_counted(
         steps in prop::collection::vec(step(), 1..200),
     ) {
         let mut known = hosts(u16::MAX);
         let mut picker = picker(known.clone());
-        let mut live: Vec<pick::Choice> = Vec::new();
+        let mut outstanding: Vec<pick::Choice> = Vec::new();
         let mut now = 0;
         for step in steps {
             match step {
@@ -336,11 +337,11 @@
                     let Some(choice) = choice else { continue };
                     prop_assert!(known.iter().any(|h| h.id == choice.host && open(h)));
                     picker.started(choice, at(now));
-                    live.push(choice);
+                    outstanding.push(choice);
                 }
-                Step::End(index, ok) if !live.is_empty() => {
-                    let choice = live.swap_remove(index.index(live.len()));
-                    let outcome = if ok { retry::Outcome::Ran } else { GONE };
+                Step::End(index, ok) if !outstanding.is_empty() => {
+                    let choice = outstanding.swap_remove(index.index(outstanding.len()));
+                    let outcome = if ok { retry::Outcome::Ran } else { UNREACHABLE };
                     picker.ended(choice, &report(outcome, 1000), at(now));
                 }
                 Step::End(..) => {}
@@ -350,41 +351,42 @@
                 }
                 Step::Pass(millis) => now += millis,
             }
-            for choice in &live {
-                let mine = live.iter().filter(|c| c.host == choice.host).count();
+            for choice in &outstanding {
+                let expected = outstanding.iter().filter(|c| c.host == choice.host).count();
                 let counted = picker.peer(*choice).map(|p| usize::from(p.outstanding()));
-                prop_assert_eq!(counted, Some(mine));
+                prop_assert_eq!(counted, Some(expected));
             }
         }
     }
 }
 
-fn crossing(cross: f32) -> pick::TransferCost {
-    pick::TransferCost { cross_zone: cross, ..pick::TransferCost::FREE }
+/// A cost of transfer to another zone.
+fn crossing(cross_zone: f32) -> pick::TransferCost {
+    pick::TransferCost { cross_zone, ..pick::TransferCost::FREE }
 }
 
-/// Share of 100 calls that stay on the entry's own host, with `busy` of its nine slots taken, when
-/// their bytes take `link_ms` on the link of another one.
+/// How many of 100 calls stay on the host of the entry node, with `busy` of its nine slots taken,
+/// if their bytes occupy the link of another host for `link_ms`.
 fn kept(link_ms: f32, busy: u16) -> usize {
     let settings = configs::call::Call::default();
-    let mut picker = pick::Picker::new(place("a"), &settings, 7).with_host(id(1));
+    let mut picker = pick::Picker::new(locality("a"), &settings, 7).with_host(id(1));
     rebuild(&mut picker, serving(&["a", "a", "a"]), 0);
-    let toll = pick::TransferCost { link_us: link_ms * 1000.0, ..pick::TransferCost::FREE };
+    let cost = pick::TransferCost { link_us: link_ms * 1000.0, ..pick::TransferCost::FREE };
     let heavy = pick::TransferCost { link_us: 1e9, ..pick::TransferCost::FREE };
     for _ in 0..busy {
         let choice = picker.pick_with_cost(SHOP, heavy, at(0), &[]).expect("a choice");
         picker.started(choice, at(0));
     }
     let pick =
-        |picker: &mut pick::Picker| picker.pick_with_cost(SHOP, toll, at(0), &[]).map(|c| c.host);
+        |picker: &mut pick::Picker| picker.pick_with_cost(SHOP, cost, at(0), &[]).map(|c| c.host);
     (0..100).filter(|_| pick(&mut picker) == Some(id(1))).count()
 }
 
 #[rstest]
 #[case::heavy_stays(74.0, 6, 100)]
 #[case::heavy_leaves_a_full_host(74.0, 9, 0)]
-#[case::light_goes_where_more_is_free(1.0, 1, 0)]
-fn bytes_that_would_take_up_a_link_stay_on_the_host(
+#[case::light_goes_where_more_slots_are_free(1.0, 1, 0)]
+fn calls_with_many_bytes_stay_on_the_host(
     #[case] link_ms: f32,
     #[case] busy: u16,
     #[case] wanted: usize,
@@ -392,15 +394,16 @@
     assert_eq!(kept(link_ms, busy), wanted);
 }
 
-/// How many calls of `toll` leave a zone whose one upstream is taken up `full` times over.
-fn crossed(toll: pick::TransferCost, full: u16) -> usize {
+/// How many of 100 calls of `cost` leave a zone whose only upstream has `full` times as many calls
+/// as slots.
+fn crossed(cost: pick::TransferCost, full: u16) -> usize {
     let mut picker = picker(serving(&["a", "b", "b"]));
     for _ in 0..9 * full {
         let choice = picker.pick_with_cost(SHOP, crossing(1000.0), at(0), &[]).expect("a choice");
         picker.started(choice, at(0));
     }
     (0..100)
-        .filter(|_| !picker.pick_with_cost(SHOP, toll, at(0), &[]).expect("a choice").same_zone)
+        .filter(|_| !picker.pick_with_cost(SHOP, cost, at(0), &[]).expect("a choice").same_zone)
         .count()
 }
 
@@ -409,12 +412,12 @@
 #[case::heavy_waits_in_it(2.0, 1, 0)]
 #[case::heavy_leaves_when_the_wait_costs_more(2.0, 3, 100)]
 #[case::heavy_is_not_sent_to_explore(2.0, 0, 0)]
-fn a_toll_weighs_waiting_against_the_way(
-    #[case] toll: f32,
+fn the_wait_is_weighed_against_the_transfer(
+    #[case] cost: f32,
     #[case] full: u16,
     #[case] wanted: usize,
 ) {
-    assert_eq!(crossed(crossing(toll), full), wanted);
+    assert_eq!(crossed(crossing(cost), full), wanted);
 }
 
 #[test]
@@ -423,23 +426,24 @@
     assert!(picker.pick_with_cost(SHOP, crossing(1000.0), at(0), &[]).is_some());
 }
 
-/// A zone whose queue is about to overflow refuses what the next zone can serve.
+/// Guards against calls that a zone with a full queue refuses although another zone can serve them.
 #[rstest]
 #[case::light(1.3, 1)]
 #[case::heavy(15.0, 0)]
-fn a_zone_about_to_refuse_sends_light_calls_away(#[case] toll: f32, #[case] wanted: usize) {
+fn a_zone_about_to_refuse_sends_light_calls_away(#[case] cost: f32, #[case] wanted: usize) {
     let mut picker = picker(serving(&["a", "b", "b"]));
     let queue = shop().services[0].queue;
     for _ in 0..9 + queue {
         let choice = picker.pick_with_cost(SHOP, crossing(1000.0), at(0), &[]).expect("a choice");
         picker.started(choice, at(0));
     }
-    let choice = picker.pick_with_cost(SHOP, crossing(toll), at(0), &[]).expect("a choice");
+    let choice = picker.pick_with_cost(SHOP, crossing(cost), at(0), &[]).expect("a choice");
     assert_eq!(usize::from(!choice.same_zone), wanted);
 }
 
-/// How many of 100 calls leave a zone of 18 upstreams, all but one of them taken up three times over.
-fn left_behind() -> usize {
+/// How many of 100 calls leave a zone of 18 upstreams, of which all but one have three times as
+/// many calls as slots.
+fn leaving_with_one_free() -> usize {
     let zones: Vec<&str> = (0..36).map(|n| if n < 18 { "a" } else { "b" }).collect();
     let mut picker = picker(serving(&zones));
     for full in (1..18).map(id) {
@@ -461,21 +465,21 @@
 
 #[test]
 fn a_call_does_not_leave_a_zone_in_which_an_upstream_is_free() {
-    let left = left_behind();
+    let left = leaving_with_one_free();
     println!("{left} of 100 calls leave");
-    // One call in 200 goes far whatever it costs.
+    // One call in 200 explores the other zones.
     assert!(left <= 3, "{left} of 100 calls leave");
 }
 
-/// How many of 100 calls leave a zone of `near` upstreams that are all taken up `turns` times over, for one where
-/// all are free.
-fn leaving(near: u8, turns: u16) -> usize {
+/// How many of 100 calls leave a zone of `near` upstreams that all have `load` times as many calls
+/// as slots, for a zone of which all upstreams are free.
+fn leaving(near: u8, load: u16) -> usize {
     let zones: Vec<&str> = (0..2 * near).map(|n| if n < near { "a" } else { "b" }).collect();
     let mut picker = picker(serving(&zones));
     for full in (1..=near).map(id) {
         let others: Vec<host::HostId> =
             (1..=2 * near).map(id).filter(|host| *host != full).collect();
-        for _ in 0..9 * turns {
+        for _ in 0..9 * load {
             let choice = picker
                 .pick_with_cost(SHOP, pick::TransferCost::FREE, at(0), &others)
                 .expect("a choice");
@@ -491,19 +495,19 @@
 #[rstest]
 #[case::small(3, 2, 100)]
 #[case::large(18, 2, 0)]
-#[case::large_and_swamped(18, 6, 100)]
-fn the_way_out_of_a_large_zone_is_dearer(
+#[case::large_and_overloaded(18, 6, 100)]
+fn transfers_out_of_a_large_zone_cost_more(
     #[case] near: u8,
-    #[case] turns: u16,
+    #[case] load: u16,
     #[case] wanted: usize,
 ) {
-    let left = leaving(near, turns);
-    // One call in 200 goes far whatever it costs.
+    let left = leaving(near, load);
+    // One call in 200 explores the other zones.
     assert!(left.abs_diff(wanted) <= 3, "{left} of 100 calls leave");
 }
 
 #[test]
-fn what_is_known_of_an_upstream_does_not_outlive_its_life() {
+fn the_state_of_an_upstream_does_not_outlive_its_restart() {
     let mut picker = picker(vec![host(1, "a", view::Phase::Serving)]);
     call(&mut picker, retry::Outcome::Ran, 0);
     let choice = picker.pick(SHOP, at(1), &[]).expect("a choice");
@@ -516,58 +520,59 @@
     assert_eq!(picker.peer(choice).expect("known").service_us(), None);
 }
 
-/// A picker for two upstreams in one zone, the second of which takes `pace` times as long.
-fn uneven(pace: f32) -> pick::Picker {
+/// A picker for two upstreams in one zone, the second of which takes `ratio` times as long.
+fn uneven(ratio: f32) -> pick::Picker {
     let mut picker = picker(serving(&["a", "a"]));
     for round in 0..200 {
         let other = id(1 + (round % 2) as u8);
         let choice = picker.pick(SHOP, at(round), &[other]).expect("a choice");
         picker.started(choice, at(round));
-        let pace = if choice.host == id(2) { pace } else { 1.0 };
+        let ratio = if choice.host == id(2) { ratio } else { 1.0 };
         let load = admit::Load { running: 0, waiting: 0, slots: 9, service_us: 1000 };
         let latency = time::Duration::from_millis(1);
         let outcome = retry::Outcome::Ran;
-        let report = pick::Report { outcome, load: Some(load), relative_time: Some(pace), latency };
+        let report =
+            pick::Report { outcome, load: Some(load), relative_time: Some(ratio), latency };
         picker.ended(choice, &report, at(round));
     }
     picker
 }
 
-/// How many of 36 calls that don't end go to the second upstream.
+/// How many of 36 calls that do not end go to the second upstream.
 fn second(picker: &mut pick::Picker, inner: bool, millis: u64) -> usize {
-    let toll = pick::TransferCost { inner, ..pick::TransferCost::FREE };
+    let cost = pick::TransferCost { inner, ..pick::TransferCost::FREE };
     let mut picked = 0;
     for _ in 0..36 {
-        let choice = picker.pick_with_cost(SHOP, toll, at(millis), &[]).expect("a choice");
+        let choice = picker.pick_with_cost(SHOP, cost, at(millis), &[]).expect("a choice");
         picker.started(choice, at(millis));
         picked += usize::from(choice.host == id(2));
     }
     picked
 }
 
-/// Both have nine slots; three times as slow, the second gets a third as many, and less of what does
-/// not wait behind others.
+/// Both upstreams have nine slots. If the second is three times as slow, it gets a third as many
+/// calls, and fewer of the calls that run before new work.
 #[rstest]
 #[case::equals(1.0, false, 17..=19)]
 #[case::slow(3.0, false, 8..=10)]
-#[case::slow_for_what_goes_first(3.0, true, 4..=6)]
-fn calls_go_where_they_end_first(
-    #[case] pace: f32,
+#[case::slow_for_inner_calls(3.0, true, 4..=6)]
+fn calls_go_to_the_upstream_where_they_end_first(
+    #[case] ratio: f32,
     #[case] inner: bool,
     #[case] wanted: std::ops::RangeInclusive<usize>,
 ) {
-    let picked = second(&mut uneven(pace), inner, 200);
+    let picked = second(&mut uneven(ratio), inner, 200);
     assert!(wanted.contains(&picked), "{picked} of 36 calls");
 }
 
 #[test]
-fn an_upstream_that_was_slow_for_a_while_is_tried_again() {
+fn an_upstream_that_was_slow_for_a_while_gets_calls_again() {
     assert!(second(&mut uneven(3.0), false, 60_000) >= 16);
 }
 
-/// How many of `calls` calls that don't end leave a zone whose one upstream takes three times as long as
-/// the one of another zone.
-fn left_for_a_faster(calls: u16) -> usize {
+/// How many of `calls` calls that do not end leave a zone whose only upstream takes three times as
+/// long as that of another zone.
+fn leaving_for_a_faster(calls: u16) -> usize {
     let mut picker = picker(serving(&["a", "b"]));
     for round in 0..100 {
         let choice = picker.pick_with_cost(SHOP, crossing(1.0), at(round), &[]).expect("a choice");
@@ -594,5 +599,5 @@
     #[case] calls: u16,
     #[case] wanted: usize,
 ) {
-    assert_eq!(left_for_a_faster(calls), wanted);
+    assert_eq!(leaving_for_a_faster(calls), wanted);
 }
