--- a/src/member/directory/search/tests.rs
+++ b/src/member/directory/search/tests.rs
@@ -17,8 +17,10 @@
 use crate::version;
 use crate::view;
 
-const PACE: search::Pace =
-    search::Pace { again: time::Duration::from_secs(10), retry: time::Duration::from_millis(200) };
+const PACE: search::Intervals = search::Intervals {
+    refresh: time::Duration::from_secs(10),
+    retry: time::Duration::from_millis(200),
+};
 
 #[rstest]
 #[case::looked(0, 10_000)]
@@ -61,7 +63,7 @@
         true
     }
 
-    async fn enter(
+    async fn register(
         &self,
         host: host::HostId,
         profile: &directory::Profile,
@@ -84,7 +86,7 @@
         Ok(book.hosts.iter().map(listed).collect())
     }
 
-    async fn leave(&self, host: host::HostId) -> Result<(), Self::Error> {
+    async fn deregister(&self, host: host::HostId) -> Result<(), Self::Error> {
         self.book().hosts.remove(&host);
         Ok(())
     }
@@ -93,7 +95,7 @@
 /// A host under test, with the upstream beside it.
 struct Host {
     search: search::Search,
-    local: watch::Sender<Option<Arc<node::Local>>>,
+    local: watch::Sender<Option<Arc<node::LocalUpstream>>>,
     applied: watch::Sender<Arc<mesh::Applied>>,
 }
 
@@ -101,7 +103,7 @@
     host::HostId::new((net::Ipv4Addr::new(10, 0, 0, last), 7100).into())
 }
 
-fn upstream(slots: u16, phase: view::Phase) -> Option<Arc<node::Local>> {
+fn upstream(slots: u16, phase: view::Phase) -> Option<Arc<node::LocalUpstream>> {
     let (service, class) = ("shop".into(), "shop".into());
     let upstream = view::Upstream {
         service,
@@ -114,7 +116,7 @@
         trial: Default::default(),
     };
     let address = (net::Ipv4Addr::new(10, 0, 0, 1), 80).into();
-    Some(Arc::new(node::Local { address, instance: "i".into(), upstream }))
+    Some(Arc::new(node::LocalUpstream { address, instance: "i".into(), upstream }))
 }
 
 /// Starts the search of host `last`, whose upstream has announced itself if `serves`.
@@ -203,7 +205,7 @@
 #[case::none(None, 0)]
 #[tokio::test(start_paused = true)]
 async fn a_host_lists_itself_anew_for_what_lasts(
-    #[case] local: Option<Arc<node::Local>>,
+    #[case] local: Option<Arc<node::LocalUpstream>>,
     #[case] enters: u32,
 ) {
     play(async {
@@ -231,7 +233,7 @@
 
 /// The host runs a configuration read in `epoch`.
 fn run(host: &Host, epoch: u64) {
-    let version = version::Version::settled(3, crate::logs::ordinal(epoch, 4));
+    let version = version::Version::assigned(3, crate::logs::ordinal(epoch, 4));
     let stamp = version::VersionId { version, ..Default::default() };
     host.applied.send_replace(Arc::new(mesh::Applied { version_id: stamp, ..Default::default() }));
 }
--- a/src/standin/small.rs
+++ b/src/standin/small.rs
@@ -12,7 +12,7 @@
 use crate::configs;
 use crate::context;
 use crate::fold::id;
-use crate::fold::memory;
+use crate::fold::outcomes;
 use crate::fold::record;
 use crate::fold::rules;
 use crate::fold::submit;
@@ -60,7 +60,7 @@
     Publish(#[from] submit::Error<logs::http::Error>),
     /// The log holds something else already.
     #[error("the configuration was refused: {0:?}")]
-    Refused(memory::Outcome),
+    Refused(outcomes::Outcome),
     /// A node can't be started or failed.
     #[error("node {0} failed")]
     Node(host::HostId, #[source] duty::Error),
@@ -139,7 +139,7 @@
         let host = self.hosts[index].clone();
         let id = host::HostId::new(host.listen);
         let context = context::Context::system();
-        let node = shell::Node::start(context, self.node_settings(settings, index), ports::Own);
+        let node = shell::Node::start(context, self.node_settings(settings, index), ports::Builtin);
         let node = node.map_err(|e| Error::Node(id, e))?;
         let (stop, stops) = ring::bounded(STOPS);
         self.nodes.push((id, stop, tokio::spawn(node.run(stops))));
@@ -192,11 +192,11 @@
     let seed = context::Context::system().seed_for("publish");
     let base = version::Version::NONE;
     let id = id::PublishId::derive(base, &body);
-    let publish = record::Publish { format: rules::NEWEST, base, id, body };
+    let publish = record::Publish { format: rules::NEWEST_FORMAT, base, id, body };
     let submitter = submit::Submitter::new(client, rules::Builtin, PUBLISH, seed);
     let answer = submitter.submit(publish).await?;
     match answer.outcome {
-        memory::Outcome::Accepted(stamp) => Ok(stamp.version),
+        outcomes::Outcome::Accepted(stamp) => Ok(stamp.version),
         other => Err(Error::Refused(other)),
     }
 }
