--- a/src/retry/attempt.rs
+++ b/src/retry/attempt.rs
@@ -1,46 +1,47 @@
-//! Life cycle of one attempt, from which its outcome follows.
+//! State machine of one attempt, which determines its outcome.
 
 use statig::prelude::*;
 
 use crate::retry;
 
-/// What happens to an attempt.
+/// An event of an attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// The first byte of the request is about to be handed to a connection.
+    /// The first byte of the request is about to be written to a connection.
     Sending,
-    /// A typed refusal came back: the host proves that it did not run the call.
+    /// The host refused the call with a reason, which proves that it did not run it.
     Refused(retry::Reason),
-    /// The host itself says that the call may have run.
+    /// The host reported that the call may have run.
     PossiblyRan(retry::Reason),
-    /// The head of an answer came.
+    /// The head of an answer was received.
     Head,
-    /// The answer came to its marked end.
+    /// The answer was received up to its marked end.
     End,
-    /// The attempt failed on this side: connection lost, deadline passed, caller left.
+    /// The attempt failed at this node: the connection was lost, the deadline passed, or the caller
+    /// left.
     Failed(retry::Reason),
 }
 
-/// One attempt.
+/// One attempt of a call.
 ///
-/// Invariant: its outcome is [`retry::Outcome::NotRun`] only when it failed before
-/// [`Event::Sending`] or was refused before [`Event::Head`]; once there, an outcome stays.
+/// Invariant: its outcome is [`retry::Outcome::NotRun`] only if it failed before [`Event::Sending`]
+/// or was refused before [`Event::Head`]; an outcome never changes.
 pub struct Attempt {
-    machine: statig::blocking::StateMachine<Life>,
+    machine: statig::blocking::StateMachine<Lifecycle>,
 }
 
 impl Attempt {
     /// An attempt of which nothing has been sent.
     pub fn new() -> Self {
-        Self { machine: Life::default().state_machine() }
+        Self { machine: Lifecycle::default().state_machine() }
     }
 
-    /// Takes in what happened.
+    /// Handles `event`.
     pub fn handle(&mut self, event: Event) {
         self.machine.handle(&event);
     }
 
-    /// How the attempt ended; `None` while it lives.
+    /// The outcome of the attempt; `None` until it has ended.
     pub fn outcome(&self) -> Option<retry::Outcome> {
         self.machine.inner().outcome
     }
@@ -53,12 +54,12 @@
 }
 
 #[derive(Default)]
-struct Life {
+struct Lifecycle {
     outcome: Option<retry::Outcome>,
 }
 
 #[state_machine(initial = "State::idle()")]
-impl Life {
+impl Lifecycle {
     /// Nothing has been sent, so nothing can have run.
     #[state]
     fn idle(&mut self, event: &Event) -> Outcome<State> {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// An answer of the upstream is coming in.
+    /// An answer of the upstream is being received.
     #[state]
     fn answering(&mut self, event: &Event) -> Outcome<State> {
         match event {
--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -1,78 +1,79 @@
-//! A token bucket that bounds the extra attempts of one service at one entry.
+//! A token bucket that bounds the extra attempts of one service at one entry node.
 
-/// Parts of a token; one extra attempt costs this many.
-const TOKEN: u32 = 100;
+/// Cost of an extra attempt, in hundredths of a token.
+const ATTEMPT_COST: u32 = 100;
 
 /// What fills the bucket.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Earn {
-    /// Every call that comes in.
+    /// Every call that arrives.
     Call,
-    /// Every call served whole, so that an outage earns nothing.
+    /// Every call that is served completely, so that nothing is earned in an outage.
     Served,
 }
 
 /// The budget of extra attempts of one service.
 ///
-/// Invariant: over any span, extra attempts are at most `percent` per hundred calls that earned,
-/// plus the floor.
+/// Invariant: in any period, there are at most `percent` extra attempts per hundred calls that
+/// earned, plus the floor.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     /// What fills the bucket.
     earn: Earn,
-    /// Hundredths of a token earned each time.
+    /// Hundredths of a token that a call earns.
     percent: u32,
-    /// Most hundredths of a token kept; the bucket starts full.
+    /// Capacity in hundredths of a token; the bucket starts full.
     max: u32,
-    /// Hundredths of a token there are.
+    /// Content in hundredths of a token.
     remaining: u32,
 }
 
 impl Budget {
-    /// A full bucket of `floor` extra attempts, earning `percent` per hundred calls served.
+    /// A full bucket of `floor` extra attempts that earns `percent` more per hundred served calls.
     pub fn new(percent: u8, floor: u16) -> Self {
         Self::earning(Earn::Served, percent, floor)
     }
 
-    /// A full bucket of `floor` extra attempts that `earn` fills.
+    /// A full bucket of `floor` extra attempts that earns `percent` more per hundred calls of the
+    /// kind `earn`.
     pub fn earning(earn: Earn, percent: u8, floor: u16) -> Self {
-        let most = u32::from(floor) * TOKEN;
-        Self { earn, percent: u32::from(percent), max: most, remaining: most }
+        let max = u32::from(floor) * ATTEMPT_COST;
+        Self { earn, percent: u32::from(percent), max, remaining: max }
     }
 
-    /// Changes the limits and keeps what is left within them.
+    /// Changes the limits; the content is reduced to the new capacity if it exceeds it.
     pub fn set_limits(&mut self, percent: u8, floor: u16) {
         self.percent = u32::from(percent);
-        self.max = u32::from(floor) * TOKEN;
+        self.max = u32::from(floor) * ATTEMPT_COST;
         self.remaining = self.remaining.min(self.max);
     }
 
-    /// Notes a call that came in.
+    /// Records a call that arrived.
     pub fn record_arrival(&mut self) {
         if self.earn == Earn::Call {
             self.fill();
         }
     }
 
-    /// Notes a call served whole.
+    /// Records a call that was served completely.
     pub fn record_served(&mut self) {
         if self.earn == Earn::Served {
             self.fill();
         }
     }
 
-    /// Takes one extra attempt; `false` when there is none left.
+    /// Takes one extra attempt; `false` if none is left.
     pub fn take(&mut self) -> bool {
-        let enough = self.remaining >= TOKEN;
+        let enough = self.remaining >= ATTEMPT_COST;
         if enough {
-            self.remaining -= TOKEN;
+            self.remaining -= ATTEMPT_COST;
         }
         enough
     }
 
-    /// Whole extra attempts left.
+    /// Number of extra attempts left.
     pub const fn remaining(&self) -> u32 {
-        self.remaining / TOKEN
+        self.remaining / ATTEMPT_COST
     }
 
     fn fill(&mut self) {
--- a/src/retry/decide.rs
+++ b/src/retry/decide.rs
@@ -1,4 +1,4 @@
-//! What follows when an attempt has ended.
+//! Decides whether a call is retried after an attempt has ended.
 
 use std::time;
 
@@ -6,34 +6,35 @@
 use crate::host;
 use crate::retry;
 
-/// Attempts of a call that another call of the mesh led to.
-const NESTED_ATTEMPTS: u8 = 2;
+/// Attempts that a call nested in another call of the mesh may have.
+const MAX_NESTED_ATTEMPTS: u8 = 2;
 
-/// Wait named in a refusal when the refusing host named none.
-const DEFAULT_WAIT: time::Duration = time::Duration::from_secs(1);
+/// Time after which the caller may retry, if the refusing host named none.
+const DEFAULT_RETRY_AFTER: time::Duration = time::Duration::from_secs(1);
 
-/// A call at its entry, at the end of one of its attempts.
+/// The state of a call at its entry node when one of its attempts has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
-    /// Whether running the call twice does no harm.
+    /// Whether the call may run twice without harm.
     pub idempotent: bool,
     /// Number of the attempt that ended, from 1.
     pub attempt: u8,
-    /// Attempts the call may have, the first included.
+    /// Attempts that the call may have, including the first.
     pub max_attempts: u8,
-    /// How many calls of the mesh led to this one; 0 for a caller outside.
+    /// Number of calls of the mesh in which this one is nested; 0 for a call from outside.
     pub depth: u8,
-    /// Attempt number that came with the call: of the call that led to it, 1 when none did.
+    /// Number of the attempt of the call in which this one is nested, as received with the call; 1
+    /// if there is none.
     pub outer_attempt: u8,
-    /// When the caller gives up.
+    /// When the caller stops waiting.
     pub deadline: clock::Instant,
-    /// Bytes of an answer that have gone to the caller.
+    /// Bytes of an answer that were sent to the caller.
     pub answered_bytes: u64,
-    /// Whether the whole request is still held, so that it can be sent again.
+    /// Whether the complete request is still buffered, so that it can be sent again.
     pub buffered: bool,
-    /// Host of the attempt that ended; `None` when no host was picked.
+    /// Host of the attempt that ended; `None` if no host was picked.
     pub host: Option<host::HostId>,
-    /// Wait that the refusing host asked for.
+    /// Time after which the refusing host allows a retry; `None` if it named none.
     pub retry_after: Option<time::Duration>,
 }
 
@@ -42,22 +43,22 @@
 pub enum Decision {
     /// Make another attempt at once.
     Again {
-        /// Host that has just failed; pick another one where there is one.
+        /// Host of the failed attempt, which is picked again only if there is no other.
         avoid: Option<host::HostId>,
     },
-    /// Answer the caller at once; nothing else will be tried.
+    /// Answer the caller at once, without another attempt.
     Final {
-        /// What the caller is told.
+        /// The outcome to report to the caller.
         outcome: retry::Outcome,
-        /// Wait before the caller's next try; `None` where another try makes no sense.
+        /// Time after which the caller may retry; `None` if a retry would fail in the same way.
         retry_after: Option<time::Duration>,
     },
 }
 
-/// Decides what follows `outcome`, the end of an attempt of `call`.
+/// Decides what to do with `call` after an attempt that ended with `outcome`.
 ///
-/// A non-idempotent call gets another attempt only after a proven "not run"; every extra attempt
-/// is taken from `budget`, and none is made once a byte has reached the caller.
+/// A call that is not idempotent gets another attempt only if the last one certainly did not run.
+/// Every extra attempt is taken from `budget`, and none is made once a byte was sent to the caller.
 pub fn decide(
     call: &Call,
     outcome: retry::Outcome,
@@ -67,27 +68,28 @@
     if outcome == retry::Outcome::Ran {
         budget.record_served();
     }
-    if allowed(call, outcome, now) && budget.take() {
+    if is_allowed(call, outcome, now) && budget.take() {
         return Decision::Again { avoid: call.host };
     }
-    Decision::Final { outcome, retry_after: wait(call, outcome) }
+    Decision::Final { outcome, retry_after: retry_after(call, outcome) }
 }
 
-fn allowed(call: &Call, outcome: retry::Outcome, now: clock::Instant) -> bool {
+/// Whether another attempt is allowed, if the budget has one.
+fn is_allowed(call: &Call, outcome: retry::Outcome, now: clock::Instant) -> bool {
     let Some(reason) = outcome.reason() else {
         return false;
     };
     reason.allows_other_host()
-        && repeatable(call, outcome)
-        && call.attempt < limit(call)
+        && is_repeatable(call, outcome)
+        && call.attempt < max_attempts(call)
         && call.answered_bytes == 0
         && call.buffered
         && now < call.deadline
 }
 
-/// Whether sending the call again can't make it run twice where that would do harm, or multiply
-/// the work of a call that is being tried again further out.
-fn repeatable(call: &Call, outcome: retry::Outcome) -> bool {
+/// Whether the call can be sent again without a harmful second run, and without multiplying the
+/// work of an outer call that is being retried.
+fn is_repeatable(call: &Call, outcome: retry::Outcome) -> bool {
     match outcome {
         retry::Outcome::Ran => false,
         retry::Outcome::NotRun(_) => true,
@@ -95,11 +97,11 @@
     }
 }
 
-fn limit(call: &Call) -> u8 {
-    if call.depth == 0 { call.max_attempts } else { call.max_attempts.min(NESTED_ATTEMPTS) }
+fn max_attempts(call: &Call) -> u8 {
+    if call.depth == 0 { call.max_attempts } else { call.max_attempts.min(MAX_NESTED_ATTEMPTS) }
 }
 
-fn wait(call: &Call, outcome: retry::Outcome) -> Option<time::Duration> {
+fn retry_after(call: &Call, outcome: retry::Outcome) -> Option<time::Duration> {
     let reason = outcome.reason()?;
     match reason {
         retry::Reason::Cancelled
@@ -108,6 +110,6 @@
         | retry::Reason::NoRoute
         | retry::Reason::TooDeep
         | retry::Reason::TooLarge => None,
-        _ => Some(call.retry_after.unwrap_or(DEFAULT_WAIT)),
+        _ => Some(call.retry_after.unwrap_or(DEFAULT_RETRY_AFTER)),
     }
 }
--- a/src/retry/mod.rs
+++ b/src/retry/mod.rs
@@ -1,7 +1,8 @@
 //! Retry budgets, deadlines and outcomes.
 //!
-//! Only the entry, the node a caller talks to, tries a call again. The number of the attempt and
-//! the depth travel with the call, so that nested calls do not multiply (see [`Call::outer_attempt`]).
+//! Only the entry node, which accepted the call from its caller, retries it. The number of the
+//! attempt and the depth are sent with the call, so that retries of nested calls do not multiply
+//! (see [`Call::outer_attempt`]).
 
 mod attempt;
 mod budget;
@@ -18,16 +19,16 @@
 /// How an attempt, or a whole call, ended.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Outcome {
-    /// The call ran once and its whole answer is there.
+    /// The call ran once, and its answer is complete.
     Ran,
-    /// It is proven that the call did not run.
+    /// The call certainly did not run.
     NotRun(Reason),
     /// The call may have run.
     Unknown(Reason),
 }
 
 impl Outcome {
-    /// Why the call was not served whole; `None` when it was.
+    /// Why the call was not served completely; `None` if it was.
     pub const fn reason(self) -> Option<Reason> {
         match self {
             Self::Ran => None,
--- a/src/retry/reason.rs
+++ b/src/retry/reason.rs
@@ -1,49 +1,49 @@
-//! Typed reasons of refusals and failures, with their names on the wire.
+//! Reasons of refusals and failures, with their names on the wire.
 
 use std::fmt;
 use std::str;
 
-/// Why a call was not served whole.
+/// Why a call was not served completely.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Reason {
     /// The caller left.
     Cancelled,
-    /// The key is claimed by another call whose answer is not held here.
+    /// The idempotency key is claimed by another call, whose answer this node does not hold.
     Conflict,
-    /// The connection ended before the whole answer had come.
+    /// The connection ended before the answer was complete.
     Cut,
     /// The upstream or its node is draining.
     Draining,
-    /// Every slot and every place in the queue is taken, or a heavier call took the place.
+    /// All slots and the queue are full, or a heavier call displaced this one.
     Full,
-    /// The log service does not answer, so that a key can't be claimed.
+    /// The log service does not answer, so that the idempotency key can't be claimed.
     LogDown,
     /// The answer or the request breaks the protocol.
     Malformed,
     /// No route matches the request.
     NoRoute,
-    /// No upstream of the service is known that could take the call.
+    /// There is no upstream of the service to which the call could be sent.
     NoUpstream,
     /// This node does not serve calls yet.
     NotReady,
-    /// Upstreams have ended under requests like it.
+    /// The request is quarantined, since upstreams crashed while they ran it.
     Quarantined,
-    /// The deadline passed before the whole answer had come.
+    /// The deadline passed before the answer was complete.
     Timeout,
-    /// Calls of the mesh led to this one through too many others.
+    /// The call is nested in too many other calls of the mesh.
     TooDeep,
     /// The request's body is larger than its kind allows.
     TooLarge,
-    /// The deadline would pass before the call had run.
+    /// The deadline would pass before the call has run.
     TooLate,
     /// No connection to the host could be made.
     Unreachable,
-    /// The upstream itself refused the call by its documented answer.
+    /// The upstream itself refused the call with its documented answer.
     UpstreamShed,
 }
 
 impl Reason {
-    /// Every reason.
+    /// All reasons.
     pub const ALL: [Reason; 17] = [
         Reason::Cancelled,
         Reason::Conflict,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Whether another host might serve what this host did not.
+    /// Whether another host might serve the call.
     pub const fn allows_other_host(self) -> bool {
         match self {
             Self::Cut
@@ -117,7 +117,7 @@
     }
 }
 
-/// A name that is no reason's.
+/// The name is not that of a reason.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("unknown reason")]
 pub struct UnknownReason;
--- a/src/retry/tests.rs
+++ b/src/retry/tests.rs
@@ -25,7 +25,7 @@
     }
 }
 
-fn again(call: &retry::Call, outcome: retry::Outcome, millis: u64) -> bool {
+fn is_retried(call: &retry::Call, outcome: retry::Outcome, millis: u64) -> bool {
     let mut budget = retry::Budget::new(10, 5);
     let now = clock::Instant::from_millis(millis);
     matches!(retry::decide(call, outcome, &mut budget, now), retry::Decision::Again { .. })
@@ -44,39 +44,39 @@
     #[case] outcome: retry::Outcome,
     #[case] expected: bool,
 ) {
-    assert_eq!(again(&call(idempotent), outcome, 0), expected);
+    assert_eq!(is_retried(&call(idempotent), outcome, 0), expected);
 }
 
 #[test]
-fn no_attempt_follows_the_deadline_a_byte_or_a_lost_body() {
+fn no_attempt_follows_the_deadline_a_byte_or_an_unbuffered_request() {
     let cut = retry::Outcome::Unknown(retry::Reason::Cut);
-    assert!(again(&call(true), cut, 999));
-    assert!(!again(&call(true), cut, 1000));
-    assert!(!again(&retry::Call { answered_bytes: 1, ..call(true) }, cut, 0));
-    assert!(!again(&retry::Call { buffered: false, ..call(true) }, cut, 0));
+    assert!(is_retried(&call(true), cut, 999));
+    assert!(!is_retried(&call(true), cut, 1000));
+    assert!(!is_retried(&retry::Call { answered_bytes: 1, ..call(true) }, cut, 0));
+    assert!(!is_retried(&retry::Call { buffered: false, ..call(true) }, cut, 0));
 }
 
 #[test]
-fn a_nested_call_of_a_repeated_one_is_not_repeated_when_it_may_have_run() {
+fn a_call_nested_in_a_retried_one_is_not_retried_if_it_may_have_run() {
     let cut = retry::Outcome::Unknown(retry::Reason::Cut);
     let nested = retry::Call { depth: 1, outer_attempt: 2, ..call(true) };
-    assert!(!again(&nested, cut, 0));
-    assert!(again(&nested, retry::Outcome::NotRun(retry::Reason::Full), 0));
-    assert!(!again(&retry::Call { depth: 1, attempt: 2, ..call(true) }, cut, 0));
+    assert!(!is_retried(&nested, cut, 0));
+    assert!(is_retried(&nested, retry::Outcome::NotRun(retry::Reason::Full), 0));
+    assert!(!is_retried(&retry::Call { depth: 1, attempt: 2, ..call(true) }, cut, 0));
 }
 
 #[test]
-fn a_refusal_names_a_wait() {
+fn a_final_decision_passes_on_the_wait_of_the_refusing_host() {
     let mut budget = retry::Budget::new(0, 0);
-    let hint = Some(time::Duration::from_millis(40));
-    let refused = retry::Call { retry_after: hint, ..call(true) };
+    let retry_after = Some(time::Duration::from_millis(40));
+    let refused = retry::Call { retry_after, ..call(true) };
     let outcome = retry::Outcome::NotRun(retry::Reason::Full);
     let decision = retry::decide(&refused, outcome, &mut budget, clock::Instant::ZERO);
-    assert_eq!(decision, retry::Decision::Final { outcome, retry_after: hint });
+    assert_eq!(decision, retry::Decision::Final { outcome, retry_after });
 }
 
 #[test]
-fn names_of_reasons_are_read_back() {
+fn names_of_reasons_are_parsed() {
     for reason in retry::Reason::ALL {
         assert_eq!(reason.as_str().parse(), Ok(reason));
     }
@@ -97,7 +97,7 @@
     #![proptest_config(ProptestConfig::with_cases(256))]
 
     #[test]
-    fn not_run_is_told_only_where_it_is_proven(
+    fn the_outcome_is_not_run_only_if_that_is_proven(
         events in prop::collection::vec(event(), 0..8),
     ) {
         let mut attempt = retry::Attempt::new();
@@ -129,20 +129,20 @@
         floor in 0_u16..50,
     ) {
         let mut budget = retry::Budget::new(10, floor);
-        let mut made = 0_u32;
+        let mut total = 0_u32;
         for _ in 0..calls {
             budget.record_arrival();
-            let mut one = retry::Call { max_attempts: attempts, ..call(true) };
+            let mut call = retry::Call { max_attempts: attempts, ..call(true) };
             let outcome = retry::Outcome::NotRun(retry::Reason::Unreachable);
-            made += 1;
+            total += 1;
             while let retry::Decision::Again { .. } =
-                retry::decide(&one, outcome, &mut budget, clock::Instant::ZERO)
+                retry::decide(&call, outcome, &mut budget, clock::Instant::ZERO)
             {
-                one.attempt += 1;
-                made += 1;
-                prop_assert!(one.attempt <= attempts);
+                call.attempt += 1;
+                total += 1;
+                prop_assert!(call.attempt <= attempts);
             }
         }
-        prop_assert!(made * 10 <= calls * 11, "{made} attempts of {calls} calls");
+        prop_assert!(total * 10 <= calls * 11, "{total} attempts of {calls} calls");
     }
 }
