--- a/src/admit/gate.rs
+++ b/src/admit/gate.rs
@@ -23,7 +23,7 @@
     since: clock::Instant,
 }
 
-/// The gate of one upstream: no call reaches the upstream by another way.
+/// The gate of one upstream, through which every call to it passes.
 ///
 /// Invariants: at most as many calls run as there are slots or connections, except for calls that
 /// ran before the limits were lowered; no call waits while a slot is free; no call is admitted
--- a/src/admit/service_times.rs
+++ b/src/admit/service_times.rs
@@ -10,7 +10,7 @@
 
 /// A call is refused as too late only if its deadline leaves less than the mean service time of its
 /// kind divided by this. It spares calls that may still run faster than the mean.
-const MIN_DIVISOR: u32 = 2;
+const MIN_TIME_DIVISOR: u32 = 2;
 
 /// Smoothed mean of run times and of their deviation from it.
 #[derive(Clone, Copy, Debug)]
@@ -66,7 +66,7 @@
 
     /// The time that has to be left before the deadline for a call of `kind` to get a slot.
     pub(super) fn min_remaining(&self, kind: admit::Kind) -> time::Duration {
-        self.mean(kind) / MIN_DIVISOR
+        self.mean(kind) / MIN_TIME_DIVISOR
     }
 
     /// Whether a call of `kind` that gets its slot after `wait` would have too little time left
--- a/src/admit/tests.rs
+++ b/src/admit/tests.rs
@@ -345,7 +345,7 @@
     assert_eq!(
         fresh.and_wait(200_000.0),
         fresh,
-        "without a service time the wait can not be converted"
+        "without a service time the wait cannot be converted"
     );
 }
 
@@ -579,7 +579,7 @@
 fn retries_do_not_displace_calls_in_time() {
     let (before, after) = (overload_with_retries(false), overload_with_retries(true));
     println!("in time {before} before and {after} after");
-    assert!(after * 10 >= before * 11, "{after} in place of {before}");
+    assert!(after * 10 >= before * 11, "{after} instead of {before}");
 }
 
 /// Served calls and those of them in time, for less urgent and for urgent calls, at 1.3 times the
--- a/src/pick/tests.rs
+++ b/src/pick/tests.rs
@@ -367,7 +367,7 @@
 
 /// How many of 100 calls stay on the host of the entry node, with `busy` of its nine slots taken,
 /// if their bytes occupy the link of another host for `link_ms`.
-fn kept(link_ms: f32, busy: u16) -> usize {
+fn staying(link_ms: f32, busy: u16) -> usize {
     let settings = configs::call::Call::default();
     let mut picker = pick::Picker::new(locality("a"), &settings, 7).with_host(id(1));
     rebuild(&mut picker, serving(&["a", "a", "a"]), 0);
@@ -391,7 +391,7 @@
     #[case] busy: u16,
     #[case] wanted: usize,
 ) {
-    assert_eq!(kept(link_ms, busy), wanted);
+    assert_eq!(staying(link_ms, busy), wanted);
 }
 
 /// How many of 100 calls of `cost` leave a zone whose only upstream has `full` times as many calls
--- a/src/quarantine/table.rs
+++ b/src/quarantine/table.rs
@@ -105,7 +105,7 @@
         }
         let fingerprints = crash.fingerprints.to_vec();
         self.crashes.push_back(crash);
-        self.judge(&fingerprints);
+        self.update_entries(&fingerprints);
         true
     }
 
@@ -143,7 +143,7 @@
             shared.flat_map(|crash| crash.fingerprints.iter().copied()).collect();
         fingerprints.sort_unstable();
         fingerprints.dedup();
-        self.judge(&fingerprints);
+        self.update_entries(&fingerprints);
         true
     }
 
@@ -220,7 +220,7 @@
     }
 
     /// Updates the entries of `fingerprints`, for which crashes or answers were recorded.
-    fn judge(&mut self, fingerprints: &[quarantine::Fingerprint]) {
+    fn update_entries(&mut self, fingerprints: &[quarantine::Fingerprint]) {
         for fingerprint in fingerprints {
             self.extend(*fingerprint);
         }
--- a/src/quarantine/tests/mod.rs
+++ b/src/quarantine/tests/mod.rs
@@ -11,7 +11,7 @@
 mod answers;
 mod entry;
 mod fingerprint;
-mod innocents;
+mod harmless;
 mod table;
 
 /// The request that crashes upstreams.
--- a/src/quarantine/tests/table.rs
+++ b/src/quarantine/tests/table.rs
@@ -47,7 +47,7 @@
 #[test]
 fn requests_that_explain_the_same_crashes_are_not_refused_before_one_has_more() {
     let table = table_of(&[&[1, 2], &[1, 2], &[1, 2]]);
-    assert!(!is_refused(&table, 1) && !is_refused(&table, 2), "they can not be told apart yet");
+    assert!(!is_refused(&table, 1) && !is_refused(&table, 2), "they cannot be told apart yet");
     assert_eq!(table.snapshot().crashes(Fingerprint(2)), 3, "enough to run them apart");
     let table = table_of(&[&[1, 2], &[1, 2], &[1, 2], &[1, 3]]);
     assert!(is_refused(&table, 1) && !is_refused(&table, 2));
--- a/src/rollout/plan.rs
+++ b/src/rollout/plan.rs
@@ -151,7 +151,7 @@
             Stage::RolledBack => 0,
             Stage::Completed => 1000,
             Stage::Moving { since } => {
-                let step = self.part(STEP_LENGTH).as_secs_f64().max(f64::EPSILON);
+                let step = self.fraction(STEP_LENGTH).as_secs_f64().max(f64::EPSILON);
                 let passed = now.since(since).as_secs_f64() / step;
                 // The conversion saturates where the float is out of range.
                 let index = (passed as usize).min(STEPS_PERMILLE.len() - 1);
@@ -174,15 +174,15 @@
     /// When the old version has had no call for long enough, in a move that began at `since`.
     fn completion(&self, since: clock::Instant) -> clock::Instant {
         let steps = u32::try_from(STEPS_PERMILLE.len() - 1).unwrap_or(u32::MAX);
-        let step = self.part(STEP_LENGTH);
+        let step = self.fraction(STEP_LENGTH);
         since + step * steps + IDLE_BEFORE_END.min(step * 2)
     }
 
-    fn part(&self, share: f64) -> time::Duration {
+    fn fraction(&self, share: f64) -> time::Duration {
         self.within.mul_f64(share)
     }
 
     fn at(&self, share: f64) -> clock::Instant {
-        self.since + self.part(share)
+        self.since + self.fraction(share)
     }
 }
--- a/src/rollout/tests.rs
+++ b/src/rollout/tests.rs
@@ -88,12 +88,12 @@
     clock::Instant::from_millis(millis)
 }
 
-/// Runs an order on a mesh of which `deaf` entry nodes in a hundred never learn of it; `old` is the
-/// share of bad answers of the old version.
-fn run(kind: Kind, old: f64, deaf: usize, seed: u64) -> Result {
+/// Runs an order on a mesh of which `uninformed` entry nodes in a hundred never learn of it; `old`
+/// is the share of bad answers of the old version.
+fn run(kind: Kind, old: f64, uninformed: usize, seed: u64) -> Result {
     let mut rng = rngs::SmallRng::seed_from_u64(seed);
     let learns = |i: usize, rng: &mut rngs::SmallRng| {
-        (i * 100 / ENTRIES >= deaf).then(|| rng.random_range(0..2_000))
+        (i * 100 / ENTRIES >= uninformed).then(|| rng.random_range(0..2_000))
     };
     let mut entries: Vec<Entry> = (0..ENTRIES)
         .map(|i| Entry {
@@ -224,8 +224,8 @@
     #[case] old: f64,
 ) {
     for seed in 0..20 {
-        for deaf in [0, 33] {
-            let result = run(kind, old, deaf, seed);
+        for uninformed in [0, 33] {
+            let result = run(kind, old, uninformed, seed);
             assert_eq!(result.stage, rollout::Stage::RolledBack, "seed {seed}: {result:?}");
             let max = result.all as f64 * MAX_SHARE + EXTRA_CALLS;
             assert!((result.new as f64) <= max, "seed {seed}: {result:?}");
