--- a/src/quarantine/tests/table.rs
+++ b/src/quarantine/tests/table.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn requests_that_can_not_be_told_apart_are_refused_after_five_crashes() {
+fn one_of_two_requests_that_explain_the_same_crashes_is_refused_after_five() {
     let table = table_of(&[&[1, 2], &[1, 2], &[1, 2], &[1, 2], &[1, 2]]);
     assert!(is_refused(&table, 1) || is_refused(&table, 2));
 }
@@ -170,7 +170,7 @@
 #[case::same_moment_more_crashes(4, false, 1010, true)]
 #[case::same_moment_fewer_crashes(2, false, 1010, false)]
 #[case::same_moment_answered(3, true, 990, true)]
-fn the_later_entry_of_a_request_supersedes(
+fn the_later_entry_of_a_request_supersedes_the_earlier(
     #[case] crashes: u8,
     #[case] lifted: bool,
     #[case] millis: u64,
