--- a/src/admit/gate.rs
+++ b/src/admit/gate.rs
@@ -23,7 +23,7 @@
     since: clock::Instant,
 }
 
-/// The gate of one upstream: no call reaches the upstream by another way.
+/// The gate of one upstream, through which every call to it passes.
 ///
 /// Invariants: at most as many calls run as there are slots or connections, except for calls that
 /// ran before the limits were lowered; no call waits while a slot is free; no call is admitted
@@ -285,8 +285,8 @@
         admit::Action::Refuse { ticket, reason, retry_after: self.retry_after(ticket, now) }
     }
 
-    /// Time after which the caller of `ticket` may retry: at least until the waiting calls have started,
-    /// and up to twice as long, depending on the ticket.
+    /// Time after which the caller of `ticket` may retry: at least until the waiting calls have
+    /// started, and up to twice as long, depending on the ticket.
     pub fn retry_after(&self, ticket: admit::Ticket, now: clock::Instant) -> time::Duration {
         stagger(self.expected_wait(self.queue.len(), now).max(MIN_WAIT), ticket)
     }
--- a/src/quarantine/tests/table.rs
+++ b/src/quarantine/tests/table.rs
@@ -47,14 +47,14 @@
 #[test]
 fn requests_that_explain_the_same_crashes_are_not_refused_before_one_has_more() {
     let table = table_of(&[&[1, 2], &[1, 2], &[1, 2]]);
-    assert!(!is_refused(&table, 1) && !is_refused(&table, 2), "they can not be told apart yet");
+    assert!(!is_refused(&table, 1) && !is_refused(&table, 2), "they cannot be told apart yet");
     assert_eq!(table.snapshot().crashes(Fingerprint(2)), 3, "enough to run them apart");
     let table = table_of(&[&[1, 2], &[1, 2], &[1, 2], &[1, 3]]);
     assert!(is_refused(&table, 1) && !is_refused(&table, 2));
 }
 
 #[test]
-fn requests_that_can_not_be_told_apart_are_refused_after_five_crashes() {
+fn one_of_two_requests_that_explain_the_same_crashes_is_refused_after_five() {
     let table = table_of(&[&[1, 2], &[1, 2], &[1, 2], &[1, 2], &[1, 2]]);
     assert!(is_refused(&table, 1) || is_refused(&table, 2));
 }
@@ -170,7 +170,7 @@
 #[case::same_moment_more_crashes(4, false, 1010, true)]
 #[case::same_moment_fewer_crashes(2, false, 1010, false)]
 #[case::same_moment_answered(3, true, 990, true)]
-fn the_later_entry_of_a_request_supersedes(
+fn the_later_entry_of_a_request_supersedes_the_earlier(
     #[case] crashes: u8,
     #[case] lifted: bool,
     #[case] millis: u64,
