--- a/src/proxy/body.rs
+++ b/src/proxy/body.rs
@@ -11,9 +11,9 @@
 use tokio::time;
 
 use crate::proxy::error;
-use crate::proxy::guard;
+use crate::proxy::received_body;
 use crate::proxy::refuse;
-use crate::proxy::wire;
+use crate::proxy::resources;
 use crate::retry;
 
 /// Body of an answer.
@@ -29,9 +29,9 @@
 #[derive(Debug)]
 pub struct Stream {
     head: Option<Bytes>,
-    rest: wire::Wire,
+    rest: received_body::Wire,
     end: Pin<Box<time::Sleep>>,
-    hold: Option<guard::Hold>,
+    hold: Option<resources::Hold>,
 }
 
 impl Reply {
@@ -49,10 +49,10 @@
     /// The answer may belong to a call that ran: it is cut, or not there by `end`. `hold` is left
     /// as it is.
     pub async fn read(
-        mut rest: wire::Wire,
+        mut rest: received_body::Wire,
         most: u64,
         end: time::Instant,
-        hold: &mut guard::Hold,
+        hold: &mut resources::Hold,
     ) -> Result<Self, refuse::Refusal> {
         let sized = rest.size_hint().exact();
         let mut head = Bytes::new();
@@ -94,7 +94,7 @@
 
 /// The next frame of a body that is read whole.
 async fn next(
-    rest: &mut wire::Wire,
+    rest: &mut received_body::Wire,
     end: time::Instant,
 ) -> Result<Option<Frame<Bytes>>, refuse::Refusal> {
     let frame = time::timeout_at(end, rest.frame()).await;
--- a/src/proxy/room/tests.rs
+++ b/src/proxy/body_memory/tests.rs
@@ -1,10 +1,10 @@
 use std::rc::Rc;
 
-use crate::proxy::room;
+use crate::proxy::body_memory;
 
 #[test]
 fn a_room_gives_out_no_more_than_it_has_and_takes_it_back() {
-    let room = Rc::new(room::Room::new(100));
+    let room = Rc::new(body_memory::Room::new(100));
     let first = room.take(60);
     assert!(first.is_some());
     assert!(room.take(41).is_none());
--- a/src/proxy/job.rs
+++ b/src/proxy/call.rs
@@ -12,19 +12,19 @@
 use crate::host;
 use crate::mesh;
 use crate::pick;
-use crate::proxy::ask;
 use crate::proxy::body;
-use crate::proxy::guard;
+use crate::proxy::call_spec;
 use crate::proxy::headers;
-use crate::proxy::inflow;
-use crate::proxy::inner;
-use crate::proxy::order;
+use crate::proxy::inbound_link;
+use crate::proxy::internode;
 use crate::proxy::owner;
+use crate::proxy::received_body;
 use crate::proxy::refuse;
+use crate::proxy::request_head;
+use crate::proxy::resources;
 use crate::proxy::state;
 use crate::proxy::trace;
 use crate::proxy::upload;
-use crate::proxy::wire;
 use crate::quarantine;
 use crate::retry;
 use crate::rollout;
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub struct Job {
     /// What the caller asked.
-    pub ask: ask::Ask,
+    pub ask: request_head::Ask,
     /// Its body.
     pub intake: upload::Intake,
     /// Configuration in force when it came.
@@ -101,8 +101,8 @@
         })
     }
 
-    fn order(&self) -> order::Order<'_> {
-        order::Order {
+    fn order(&self) -> call_spec::Order<'_> {
+        call_spec::Order {
             service: &self.service().name,
             class: self.class().map(|c| c.name.as_str()),
             kind: &self.kind().name,
@@ -155,7 +155,7 @@
 pub async fn run<C: claim::Claims>(
     state: &Rc<state::State<C>>,
     job: &Job,
-    mut hold: guard::Hold,
+    mut hold: resources::Hold,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
     let mut avoid = Vec::new();
     let mut attempt = 1;
@@ -255,7 +255,7 @@
     job: &Job,
     attempt: u8,
     avoid: &[host::HostId],
-    hold: &mut guard::Hold,
+    hold: &mut resources::Hold,
 ) -> Result<http::Response<body::Reply>, Failed> {
     // Before each attempt: a request that ends upstreams would be carried from one to the next.
     let check = state.suspects.check_entry(|| job.print(&state.printer));
@@ -268,7 +268,7 @@
     hold.start(state.ctx, &state.picker, choice);
     let mut request = job.request(attempt, state.dialect.verbose);
     let result = if choice.host == state.me {
-        inner::name_host(&mut request, job.ask.host.as_ref());
+        internode::name_host(&mut request, job.ask.host.as_ref());
         owner::run(state, &job.order(), request, hold).await
     } else {
         remote(state, job, choice.host, request, hold).await
@@ -322,7 +322,7 @@
     let cheap = u64::from(state.settings.call.cross_bytes);
     let bytes = job.intake.bytes() + state.sizes.borrow().expect(&job.kind().name);
     let cross = if cheap == 0 { 0.0 } else { bytes as f32 / cheap as f32 };
-    let link = inflow::link_time(&state.settings.proxy, bytes);
+    let link = inbound_link::link_time(&state.settings.proxy, bytes);
     pick::TransferCost { cross, link, inner: job.inner }
 }
 
@@ -340,11 +340,11 @@
     job: &Job,
     host: host::HostId,
     mut request: http::Request<upload::Upload>,
-    hold: &mut guard::Hold,
+    hold: &mut resources::Hold,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
-    inner::address(&mut request, job.ask.host.as_ref(), &job.order(), state.ctx.now())?;
+    internode::address(&mut request, job.ask.host.as_ref(), &job.order(), state.ctx.now())?;
     let end = state.timer(job.deadline) + LAST_WORD;
-    let answer = inner::call(&state.links, host, request, end).await;
+    let answer = internode::call(&state.links, host, request, end).await;
     if let Some(trip) = hold.trip.as_mut() {
         trip.load(answer.load);
     }
@@ -354,7 +354,7 @@
         state.compare(&job.kind().name, parts.status, ran, hold);
     }
     hold.head(parts.status, answer.load);
-    let wire = wire::Wire::new(incoming, wire::Carrier::Inner);
+    let wire = received_body::Wire::new(incoming, received_body::Carrier::Inner);
     let reply = body::Reply::read(wire, state.settings.proxy.whole_bytes, end, hold).await?;
     Ok(http::Response::from_parts(parts, reply))
 }
--- a/src/proxy/returns/tests.rs
+++ b/src/proxy/caller_retries/tests.rs
@@ -1,15 +1,15 @@
 use rstest::rstest;
 
 use crate::clock;
-use crate::proxy::returns;
+use crate::proxy::caller_retries;
 
 fn at(millis: u64) -> clock::Instant {
     clock::Instant::from_millis(millis)
 }
 
 /// What is remembered after a try at 100 ms failed whose caller waits until 2500 ms.
-fn returns() -> returns::Returns {
-    let mut returns = returns::Returns::default();
+fn returns() -> caller_retries::Returns {
+    let mut returns = caller_retries::Returns::default();
     let key = returns.key(("GET", "/a/1"));
     returns.note(key, at(100), at(2500));
     returns
@@ -40,11 +40,11 @@
 fn what_is_remembered_is_bounded() {
     let mut returns = returns();
     let first = returns.key(("GET", "/a/1"));
-    for number in 0..returns::MOST {
+    for number in 0..caller_retries::MOST {
         let key = returns.key(number);
         returns.note(key, at(200), at(2600));
     }
     assert_eq!(returns.since(first, at(2500), at(400)), at(400));
-    assert_eq!(returns.order.len(), returns::MOST);
-    assert_eq!(returns.seen.len(), returns::MOST);
+    assert_eq!(returns.order.len(), caller_retries::MOST);
+    assert_eq!(returns.seen.len(), caller_retries::MOST);
 }
--- a/src/proxy/ends/tests.rs
+++ b/src/proxy/crash_detector/tests.rs
@@ -6,19 +6,22 @@
 use rstest::rstest;
 use tokio::net::TcpListener;
 
-use crate::proxy::ends;
+use crate::proxy::crash_detector;
 use crate::quarantine::Fingerprint;
 
 const LIMIT: time::Duration = time::Duration::from_millis(500);
 
 /// Waits for the end of an upstream at `address`, for a moment only.
-async fn next(ends: &ends::Ends, address: Option<net::SocketAddr>) -> Option<Vec<Fingerprint>> {
+async fn next(
+    ends: &crash_detector::Ends,
+    address: Option<net::SocketAddr>,
+) -> Option<Vec<Fingerprint>> {
     next_beside(ends, address, |_| false).await
 }
 
 /// The same while the calls for which `runs` holds run on.
 async fn next_beside(
-    ends: &ends::Ends,
+    ends: &crash_detector::Ends,
     address: Option<net::SocketAddr>,
     runs: impl Fn(u64) -> bool,
 ) -> Option<Vec<Fingerprint>> {
@@ -32,7 +35,7 @@
     (listener, address)
 }
 
-fn cut(ends: &ends::Ends, prints: &[u64]) {
+fn cut(ends: &crash_detector::Ends, prints: &[u64]) {
     ends.cut((0..).zip(prints.iter().copied().map(Fingerprint)));
 }
 
@@ -40,7 +43,7 @@
 async fn an_upstream_that_takes_no_connection_any_more_has_ended_under_what_ran_at_first() {
     let (listener, address) = listener().await;
     drop(listener);
-    let ends = ends::Ends::default();
+    let ends = crash_detector::Ends::default();
     cut(&ends, &[1, 2, 3]);
     // The others follow one after the other, each with fewer beside it.
     cut(&ends, &[2, 3]);
@@ -56,7 +59,7 @@
 async fn an_answer_that_was_given_before_the_end_speaks_for_its_request() {
     let (listener, address) = listener().await;
     drop(listener);
-    let ends = ends::Ends::default();
+    let ends = crash_detector::Ends::default();
     cut(&ends, &[1, 2]);
     ends.whole(0);
     assert_eq!(next(&ends, Some(address)).await, Some(vec![Fingerprint(2)]));
@@ -68,7 +71,7 @@
 #[tokio::test]
 async fn a_call_that_is_broken_off_alone_is_no_end(#[case] there: bool) {
     let (_listener, address) = listener().await;
-    let ends = ends::Ends::default();
+    let ends = crash_detector::Ends::default();
     cut(&ends, &[1, 2]);
     assert_eq!(next(&ends, there.then_some(address)).await, None);
 }
@@ -76,7 +79,7 @@
 #[tokio::test]
 async fn an_upstream_at_which_other_calls_run_on_is_not_asked_for_a_connection() {
     let (listener, address) = listener().await;
-    let ends = ends::Ends::default();
+    let ends = crash_detector::Ends::default();
     cut(&ends, &[1, 2]);
     assert_eq!(next_beside(&ends, Some(address), |key| key == 1).await, None);
     let asked = tokio::time::timeout(time::Duration::from_millis(50), listener.accept()).await;
@@ -88,7 +91,7 @@
 async fn calls_that_are_found_broken_off_a_little_later_count_as_well() {
     let (listener, address) = listener().await;
     drop(listener);
-    let ends = ends::Ends::default();
+    let ends = crash_detector::Ends::default();
     cut(&ends, &[1, 2]);
     let looks = std::cell::Cell::new(0);
     let runs = |key| key == 1 && looks.replace(looks.get() + 1) < 2;
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -12,20 +12,20 @@
 use crate::claim;
 use crate::clock;
 use crate::mesh;
-use crate::proxy::ask;
 use crate::proxy::body;
+use crate::proxy::call;
+use crate::proxy::caller_retries;
 use crate::proxy::count;
-use crate::proxy::guard;
 use crate::proxy::headers;
-use crate::proxy::job;
-use crate::proxy::keyed;
+use crate::proxy::idempotency;
+use crate::proxy::received_body;
 use crate::proxy::refuse;
 use crate::proxy::reply;
-use crate::proxy::returns;
+use crate::proxy::request_head;
+use crate::proxy::resources;
 use crate::proxy::state;
 use crate::proxy::trace;
 use crate::proxy::upload;
-use crate::proxy::wire;
 use crate::retry;
 use crate::version;
 
@@ -42,7 +42,10 @@
 ) -> http::Response<body::Reply> {
     let (parts, incoming) = request.into_parts();
     let (began, version) = (state.ctx.now(), state.applied.borrow().version_id.version);
-    let ask = ask::Ask::read(parts, state.settings.proxy.path_bytes, &state.dialect, || state.id());
+    let ask =
+        request_head::Ask::read(parts, state.settings.proxy.path_bytes, &state.dialect, || {
+            state.id()
+        });
     let (id, result) = match ask {
         Ok(mut ask) => {
             state.sign(&mut ask.headers);
@@ -105,7 +108,7 @@
 
 async fn serve<C: claim::Claims>(
     state: &Rc<state::State<C>>,
-    ask: ask::Ask,
+    ask: request_head::Ask,
     incoming: Incoming,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
     let flight = Some(state.flights.enter());
@@ -124,7 +127,7 @@
         kind,
         started,
     );
-    let mut hold = guard::Hold { flight, count: Some(count), ..guard::Hold::default() };
+    let mut hold = resources::Hold { flight, count: Some(count), ..resources::Hold::default() };
     let deadline = state.deadline(started + longest(&applied.mesh, kind, ask.left));
     // A caller that comes back has used up part of its target: without this, callers that can only be late
     // take the place of those in time, 1337 answers of 4000 in time where 2551 are (virtual time, the test
@@ -143,24 +146,24 @@
         }
     };
     let inner = state.runs.makes(&ask.id);
-    let job = job::Job { ask, intake, applied, route, service, inner, target, deadline };
+    let job = call::Job { ask, intake, applied, route, service, inner, target, deadline };
     let key = job.ask.key.clone().filter(|_| !job.kind().idempotent);
     let Some(key) = key else {
-        let result = job::run(state, &job, hold).await;
+        let result = call::run(state, &job, hold).await;
         if let Some(visit) = visit.filter(|_| result.is_err() && !inner) {
             state.returns.borrow_mut().note(visit.key, visit.since, visit.until);
         }
         return result;
     };
     // A keyed call goes on when its caller leaves: the caller may come back for its answer.
-    let call = task::spawn_local(keyed::run(Rc::clone(state), job, hold, key));
+    let call = task::spawn_local(idempotency::run(Rc::clone(state), job, hold, key));
     call.await.unwrap_or(Err(refuse::Refusal::unknown(retry::Reason::Cancelled)))
 }
 
 /// A try of a caller that says how long it waits.
 #[derive(Clone, Copy, Debug)]
 struct Visit {
-    key: returns::Key,
+    key: caller_retries::Key,
     /// When the caller came for the first time.
     since: clock::Instant,
     /// Until when it waits.
@@ -171,7 +174,7 @@
 /// it waits.
 fn visit<C: claim::Claims>(
     state: &state::State<C>,
-    ask: &ask::Ask,
+    ask: &request_head::Ask,
     now: clock::Instant,
 ) -> Option<Visit> {
     let until = now + ask.left?;
@@ -183,7 +186,7 @@
 fn find<C: claim::Claims>(
     state: &state::State<C>,
     applied: &mesh::Applied,
-    ask: &ask::Ask,
+    ask: &request_head::Ask,
 ) -> Result<mesh::RouteKey, refuse::Refusal> {
     if applied.version_id.version == version::Version::NONE {
         return Err(refuse::Refusal::not_run(retry::Reason::NotReady).again(state.pause()));
@@ -213,7 +216,7 @@
     if deadline.since(state.ctx.now()) == time::Duration::ZERO {
         return Err(refuse::Refusal::not_run(retry::Reason::TooLate).again(state.pause()));
     }
-    let wire = wire::Wire::new(incoming, wire::Carrier::Plain);
+    let wire = received_body::Wire::new(incoming, received_body::Carrier::Plain);
     let bounds = state.bounds(limit);
     let mut pace = upload::AtOnce;
     let read = upload::Intake::read(wire, &bounds, &mut pace);
--- a/src/proxy/keyed.rs
+++ b/src/proxy/idempotency.rs
@@ -7,15 +7,15 @@
 
 use crate::claim;
 use crate::proxy::body;
-use crate::proxy::guard;
+use crate::proxy::call;
 use crate::proxy::headers;
-use crate::proxy::held;
-use crate::proxy::inner;
-use crate::proxy::job;
+use crate::proxy::held_answers;
+use crate::proxy::internode;
+use crate::proxy::received_body;
 use crate::proxy::refuse;
+use crate::proxy::resources;
 use crate::proxy::state;
 use crate::proxy::upload;
-use crate::proxy::wire;
 use crate::retry;
 
 /// Claims made for one call: another one follows when the first call of the key is proven not to
@@ -52,8 +52,8 @@
 /// [`retry::Reason::Conflict`] as unknown when the first call's answer is not held.
 pub async fn run<C: claim::Claims>(
     state: Rc<state::State<C>>,
-    job: job::Job,
-    mut hold: guard::Hold,
+    job: call::Job,
+    mut hold: resources::Hold,
     text: header::HeaderValue,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
     let path = job.ask.path.path();
@@ -61,7 +61,7 @@
     let print = print(&job);
     for _ in 0..CLAIMS {
         let attempt = attempt(&state);
-        let flying = state.held.begin(held::Name { key, number: attempt.number }, print);
+        let flying = state.held.begin(held_answers::Name { key, number: attempt.number }, print);
         let mut claim = Claim { claims: state.claims.clone(), key, attempt, stands: false };
         let verdict = match state.claims.claim(key, attempt, job.deadline).await {
             Ok(verdict) => verdict,
@@ -84,12 +84,12 @@
 /// Runs the key's first call.
 async fn first<C: claim::Claims>(
     state: &Rc<state::State<C>>,
-    job: &job::Job,
-    hold: guard::Hold,
+    job: &call::Job,
+    hold: resources::Hold,
     claim: Claim<C>,
-    flying: held::Flying,
+    flying: held_answers::Flying,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
-    let result = job::run(state, job, hold).await;
+    let result = call::run(state, job, hold).await;
     match &result {
         Ok(answer) => flying.ran(answer),
         Err(refusal) if matches!(refusal.outcome, retry::Outcome::NotRun(_)) => {
@@ -104,24 +104,24 @@
 /// The answer of the key's first call; `None` when that call is proven not to have run.
 async fn duplicate<C: claim::Claims>(
     state: &Rc<state::State<C>>,
-    job: &job::Job,
+    job: &call::Job,
     key: claim::Key,
     other: claim::Attempt,
-    print: held::Print,
+    print: held_answers::Print,
 ) -> Option<Result<http::Response<body::Reply>, refuse::Refusal>> {
     const GONE: refuse::Refusal = refuse::Refusal::unknown(retry::Reason::Conflict);
-    let name = held::Name { key, number: other.number };
+    let name = held_answers::Name { key, number: other.number };
     let end = state.timer(job.deadline);
     if other.host == state.me {
         return match time::timeout_at(end, state.held.find(name, print)).await {
-            Ok(held::Found::Answer(answer)) => Some(Ok(answer.replay())),
-            Ok(held::Found::Released) => None,
-            Ok(held::Found::Gone) | Err(_) => Some(Err(GONE)),
+            Ok(held_answers::Found::Answer(answer)) => Some(Ok(answer.replay())),
+            Ok(held_answers::Found::Released) => None,
+            Ok(held_answers::Found::Gone) | Err(_) => Some(Err(GONE)),
         };
     }
-    let request = inner::ask(name, print, job.deadline, state.ctx.now());
+    let request = internode::ask(name, print, job.deadline, state.ctx.now());
     let Some(request) = request else { return Some(Err(GONE)) };
-    let answer = inner::call(&state.links, other.host, request, end).await;
+    let answer = internode::call(&state.links, other.host, request, end).await;
     match answer.result {
         Ok(answer) => Some(read(state, answer, end).await.map_err(|_| GONE)),
         Err(refuse::Refusal {
@@ -137,8 +137,8 @@
     end: time::Instant,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
     let (parts, incoming) = answer.into_parts();
-    let wire = wire::Wire::new(incoming, wire::Carrier::Inner);
-    let mut hold = guard::Hold::default();
+    let wire = received_body::Wire::new(incoming, received_body::Carrier::Inner);
+    let mut hold = resources::Hold::default();
     let reply = body::Reply::read(wire, state.settings.proxy.whole_bytes, end, &mut hold).await?;
     let mut answer = http::Response::from_parts(parts, reply);
     let held = header::HeaderValue::from_static(headers::HELD);
@@ -147,7 +147,7 @@
 }
 
 /// Counts the end of a call that did not get as far as an attempt.
-fn end(hold: &mut guard::Hold, refusal: refuse::Refusal) -> refuse::Refusal {
+fn end(hold: &mut resources::Hold, refusal: refuse::Refusal) -> refuse::Refusal {
     if let Some(count) = hold.count.take() {
         count.ended(refusal.outcome);
     }
@@ -170,7 +170,7 @@
 }
 
 /// What tells this request from another one with the same key.
-fn print(job: &job::Job) -> held::Print {
+fn print(job: &call::Job) -> held_answers::Print {
     let mut hasher = blake3::Hasher::new();
     hasher.update(job.ask.method.as_str().as_bytes());
     hasher.update(&[0]);
--- a/src/proxy/inflow.rs
+++ b/src/proxy/inbound_link.rs
@@ -19,8 +19,8 @@
 
 use crate::configs;
 use crate::proxy::error;
+use crate::proxy::received_body;
 use crate::proxy::upload;
-use crate::proxy::wire;
 
 #[cfg(test)]
 mod tests;
@@ -117,7 +117,7 @@
     }
 
     /// Waits for a turn if `rest` needs one.
-    async fn enter(&mut self, rest: &wire::Wire) {
+    async fn enter(&mut self, rest: &received_body::Wire) {
         let short =
             rest.size_hint().upper().is_some_and(|n| n <= u64::from(self.inflow.plan.window));
         if short || self.permit.is_some() {
@@ -128,7 +128,10 @@
     }
 
     /// The next part of `rest`, in turn.
-    async fn read(&mut self, rest: &mut wire::Wire) -> Option<Result<Frame<Bytes>, error::Broken>> {
+    async fn read(
+        &mut self,
+        rest: &mut received_body::Wire,
+    ) -> Option<Result<Frame<Bytes>, error::Broken>> {
         self.enter(rest).await;
         if self.permit.is_none() {
             return rest.frame().await;
@@ -148,7 +151,10 @@
 }
 
 impl upload::Pace for Turn<'_> {
-    async fn next(&mut self, rest: &mut wire::Wire) -> Option<Result<Frame<Bytes>, error::Broken>> {
+    async fn next(
+        &mut self,
+        rest: &mut received_body::Wire,
+    ) -> Option<Result<Frame<Bytes>, error::Broken>> {
         let frame = self.read(rest).await;
         if let Some(Ok(frame)) = &frame {
             self.note(frame.data_ref().map_or(0, |data| data.len() as u64));
--- a/src/proxy/inflow/tests.rs
+++ b/src/proxy/inbound_link/tests.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 
 use crate::configs;
-use crate::proxy::inflow;
+use crate::proxy::inbound_link;
 
 #[rstest]
 #[case::thin(5.0, 2048, 8)]
@@ -15,20 +15,20 @@
     #[case] turns: usize,
 ) {
     let settings = configs::proxy::Proxy { link_mbps: mbps, ..configs::proxy::Proxy::default() };
-    assert_eq!(inflow::Plan::new(&settings), inflow::Plan { window, turns });
+    assert_eq!(inbound_link::Plan::new(&settings), inbound_link::Plan { window, turns });
 }
 
 #[test]
 fn a_link_of_unknown_rate_is_left_alone() {
     let settings = configs::proxy::Proxy::default();
-    let plan = inflow::Plan::new(&settings);
+    let plan = inbound_link::Plan::new(&settings);
     assert_eq!(plan.window, settings.stream_bytes);
     assert!(plan.turns > usize::from(u16::MAX));
 }
 
 #[test]
 fn bodies_on_their_way_are_counted_until_they_are_there_or_given_up() {
-    let inflow = inflow::Inflow::new(inflow::Plan { window: 4096, turns: 4 });
+    let inflow = inbound_link::Inflow::new(inbound_link::Plan { window: 4096, turns: 4 });
     let mut first = inflow.turn(60_000);
     let second = inflow.turn(40_000);
     assert_eq!(inflow.ahead(), 100_000);
@@ -43,7 +43,7 @@
 
 /// Uploads that come in over one link of 6.5 Mbit/s, and short calls behind them, in virtual time.
 struct Link {
-    plan: inflow::Plan,
+    plan: inbound_link::Plan,
     /// Bytes that each upload has still to send.
     rest: Vec<u64>,
     /// What is under way: the upload and the bytes of each packet.
@@ -58,7 +58,7 @@
     /// Microseconds for one byte at 6.5 Mbit/s.
     const BYTE_US: f64 = 8.0 / 6.5;
 
-    fn new(plan: inflow::Plan) -> Self {
+    fn new(plan: inbound_link::Plan) -> Self {
         let (rest, under_way) = (Vec::new(), collections::VecDeque::new());
         let (turns, waiting) = (collections::BTreeSet::new(), collections::VecDeque::new());
         Self { plan, rest, under_way, turns, waiting, done: 0 }
@@ -105,7 +105,7 @@
 
 /// Eleven uploads of 20 to 100 kB a second for a minute, in bursts of four; gives the 90th
 /// percentile of the delay of a short call, in milliseconds, and the uploads that came through.
-fn short_calls(plan: inflow::Plan) -> (u64, usize) {
+fn short_calls(plan: inbound_link::Plan) -> (u64, usize) {
     let mut link = Link::new(plan);
     let (mut now, mut next, mut number) = (0.0, 0.0, 0);
     let mut delays = Vec::new();
@@ -127,9 +127,9 @@
 #[test]
 fn short_calls_pass_a_link_that_uploads_fill() {
     let settings = configs::proxy::Proxy { link_mbps: 6.5, ..configs::proxy::Proxy::default() };
-    let all_at_once = inflow::Plan { window: 262_144, turns: usize::MAX };
+    let all_at_once = inbound_link::Plan { window: 262_144, turns: usize::MAX };
     let (before, through) = short_calls(all_at_once);
-    let (after, paced) = short_calls(inflow::Plan::new(&settings));
+    let (after, paced) = short_calls(inbound_link::Plan::new(&settings));
     println!("{before} ms and {through} uploads at once, {after} ms and {paced} in turns");
     assert!(before > 200, "{before} ms behind all uploads at once");
     assert!(after <= 40, "{after} ms behind uploads in turns");
--- a/src/proxy/inner.rs
+++ b/src/proxy/internode.rs
@@ -7,12 +7,12 @@
 use crate::claim;
 use crate::clock;
 use crate::host;
-use crate::proxy::ask;
+use crate::proxy::call_spec;
 use crate::proxy::headers;
-use crate::proxy::held;
+use crate::proxy::held_answers;
 use crate::proxy::links;
-use crate::proxy::order;
 use crate::proxy::refuse;
+use crate::proxy::request_head;
 use crate::proxy::upload;
 use crate::retry;
 
@@ -28,7 +28,7 @@
     /// Load of its upstream.
     pub load: Option<admit::Load>,
     /// How long the upstream took.
-    pub ran: Option<order::Ran>,
+    pub ran: Option<call_spec::Ran>,
     /// The upstream's answer, or why there is none.
     pub result: Result<http::Response<hyper::body::Incoming>, refuse::Refusal>,
 }
@@ -43,7 +43,7 @@
 pub fn address(
     request: &mut http::Request<upload::Upload>,
     host: Option<&http::uri::Authority>,
-    order: &order::Order<'_>,
+    order: &call_spec::Order<'_>,
     now: clock::Instant,
 ) -> Result<(), refuse::Refusal> {
     const MALFORMED: refuse::Refusal = refuse::Refusal::not_run(retry::Reason::Malformed);
@@ -156,7 +156,7 @@
     let map = answer.headers_mut();
     let load = map.remove(headers::LOAD).and_then(|v| v.to_str().ok()?.parse().ok());
     let ran = map.remove(headers::RAN_US).and_then(|v| v.to_str().ok()?.parse().ok());
-    let ran = ran.map(|micros| order::Ran(time::Duration::from_micros(micros)));
+    let ran = ran.map(|micros| call_spec::Ran(time::Duration::from_micros(micros)));
     let outcome = map.remove(headers::OUTCOME);
     let result = match outcome.as_ref().map(header::HeaderValue::as_bytes) {
         Some(o) if o == headers::RAN.as_bytes() => Ok(answer),
@@ -172,7 +172,7 @@
     let reason = reason.unwrap_or(retry::Reason::Malformed);
     let refusal =
         if proven { refuse::Refusal::not_run(reason) } else { refuse::Refusal::unknown(reason) };
-    match ask::number(map, headers::RETRY) {
+    match request_head::number(map, headers::RETRY) {
         Ok(Some(millis)) => refusal.again(time::Duration::from_millis(millis)),
         Ok(None) | Err(_) => refusal,
     }
@@ -183,8 +183,8 @@
 
 /// The request for the answer of the call `name`.
 pub fn ask(
-    name: held::Name,
-    print: held::Print,
+    name: held_answers::Name,
+    print: held_answers::Print,
     deadline: clock::Instant,
     now: clock::Instant,
 ) -> Option<http::Request<upload::Upload>> {
@@ -196,10 +196,10 @@
 }
 
 /// The call that a request made by [`ask()`] is about.
-pub fn asked(path: &str) -> Option<(held::Name, held::Print)> {
+pub fn asked(path: &str) -> Option<(held_answers::Name, held_answers::Print)> {
     let mut parts = path.strip_prefix(HELD)?.splitn(3, '/');
     let key = u128::from_str_radix(parts.next()?, 16).ok()?;
     let number = u64::from_str_radix(parts.next()?, 16).ok()?;
-    let print = held::Print::from_hex(parts.next()?).ok()?;
-    Some((held::Name { key: claim::Key(key.to_le_bytes()), number }, print))
+    let print = held_answers::Print::from_hex(parts.next()?).ok()?;
+    Some((held_answers::Name { key: claim::Key(key.to_le_bytes()), number }, print))
 }
--- a/src/proxy/owner.rs
+++ b/src/proxy/owner.rs
@@ -10,19 +10,19 @@
 use crate::claim;
 use crate::clock;
 use crate::node;
-use crate::proxy::ask;
 use crate::proxy::body;
+use crate::proxy::call_spec;
 use crate::proxy::dialect;
-use crate::proxy::guard;
 use crate::proxy::headers;
-use crate::proxy::order;
 use crate::proxy::pool;
+use crate::proxy::received_body;
 use crate::proxy::refuse;
+use crate::proxy::request_head;
+use crate::proxy::resources;
 use crate::proxy::slots;
 use crate::proxy::state;
 use crate::proxy::trace;
 use crate::proxy::upload;
-use crate::proxy::wire;
 use crate::quarantine;
 use crate::retry;
 use crate::view;
@@ -51,9 +51,9 @@
 /// The refusal says whether the call may have run.
 pub async fn run<C: claim::Claims>(
     state: &Rc<state::State<C>>,
-    order: &order::Order<'_>,
+    order: &call_spec::Order<'_>,
     request: http::Request<upload::Upload>,
-    hold: &mut guard::Hold,
+    hold: &mut resources::Hold,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
     let result = admit(state, order, request, hold).await;
     if let Err(refuse::Refusal { outcome: retry::Outcome::Unknown(reason), .. }) = result {
@@ -71,9 +71,9 @@
 /// The same without a look at what the answer says of the upstream's version.
 async fn admit<C: claim::Claims>(
     state: &Rc<state::State<C>>,
-    order: &order::Order<'_>,
+    order: &call_spec::Order<'_>,
     mut request: http::Request<upload::Upload>,
-    hold: &mut guard::Hold,
+    hold: &mut resources::Hold,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
     find(state, order)?;
     let came = state.ctx.now();
@@ -111,16 +111,16 @@
         run.head(answer.status());
     }
     let (mut parts, incoming) = answer.into_parts();
-    ask::strip(&mut parts.headers);
+    request_head::strip(&mut parts.headers);
     if method != http::Method::HEAD && parts.status != http::StatusCode::NOT_MODIFIED {
         parts.headers.remove(header::CONTENT_LENGTH);
     }
-    let ran = order::Ran(state.ctx.now().since(began));
+    let ran = call_spec::Ran(state.ctx.now().since(began));
     parts.extensions.insert(ran);
     hold.lease = Some(lease);
     state.compare(order.kind, parts.status, ran, hold);
     hold.head(parts.status, Some(state.slots.load()));
-    let wire = wire::Wire::new(incoming, wire::Carrier::Plain);
+    let wire = received_body::Wire::new(incoming, received_body::Carrier::Plain);
     let reply = body::Reply::read(wire, state.settings.proxy.whole_bytes, end, hold).await?;
     if let Some(id) = &id {
         let now = state.ctx.now();
@@ -144,7 +144,7 @@
 /// What [`run`] would answer.
 pub fn preview<C: claim::Claims>(
     state: &state::State<C>,
-    order: &order::Order<'_>,
+    order: &call_spec::Order<'_>,
     headers: &header::HeaderMap,
 ) -> Result<(), refuse::Refusal> {
     find(state, order)?;
@@ -155,7 +155,7 @@
 /// What a call asks of the gate.
 fn wish<'a, C: claim::Claims>(
     state: &state::State<C>,
-    order: &order::Order<'a>,
+    order: &call_spec::Order<'a>,
 ) -> slots::Wish<'a> {
     slots::Wish {
         kind: order.kind,
@@ -177,7 +177,7 @@
 /// The upstream beside this node, if it is the one that `order` wants and takes calls.
 fn find<C: claim::Claims>(
     state: &state::State<C>,
-    order: &order::Order<'_>,
+    order: &call_spec::Order<'_>,
 ) -> Result<node::Local, refuse::Refusal> {
     // Another host may serve it: to the entry, an upstream that went or changed is a leaving one.
     const GONE: refuse::Refusal = refuse::Refusal::not_run(retry::Reason::Draining);
@@ -248,7 +248,7 @@
 /// Refuses a call that the gate did not let in, and logs what the gate held.
 fn turn<C: claim::Claims>(
     state: &state::State<C>,
-    order: &order::Order<'_>,
+    order: &call_spec::Order<'_>,
     headers: &header::HeaderMap,
     refused: slots::Refused,
 ) -> refuse::Refusal {
@@ -293,8 +293,8 @@
     lease: pool::Lease,
     end: time::Instant,
 ) {
-    let mut hold = guard::Hold { lease: Some(lease), ..guard::Hold::default() };
-    let wire = wire::Wire::new(answer.into_body(), wire::Carrier::Plain);
+    let mut hold = resources::Hold { lease: Some(lease), ..resources::Hold::default() };
+    let wire = received_body::Wire::new(answer.into_body(), received_body::Carrier::Plain);
     // A body that is long or cut drops the connection, which is all that is wanted.
     let _ = body::Reply::read(wire, SHED_BYTES, end, &mut hold).await;
 }
--- a/src/proxy/peer.rs
+++ b/src/proxy/peer.rs
@@ -10,20 +10,20 @@
 use hyper::body::Incoming;
 
 use crate::claim;
-use crate::proxy::ask;
 use crate::proxy::body;
-use crate::proxy::guard;
+use crate::proxy::call_spec;
 use crate::proxy::headers;
-use crate::proxy::held;
-use crate::proxy::inner;
+use crate::proxy::held_answers;
+use crate::proxy::internode;
 use crate::proxy::links;
-use crate::proxy::order;
 use crate::proxy::owner;
+use crate::proxy::received_body;
 use crate::proxy::refuse;
 use crate::proxy::reply;
+use crate::proxy::request_head;
+use crate::proxy::resources;
 use crate::proxy::state;
 use crate::proxy::upload;
-use crate::proxy::wire;
 use crate::retry;
 
 /// A connection without a greeting of this mesh: it gets nothing and is closed.
@@ -58,13 +58,13 @@
     request: http::Request<Incoming>,
 ) -> http::Response<body::Reply> {
     let flight = Some(state.flights.enter());
-    let hold = guard::Hold { flight, ..guard::Hold::default() };
+    let hold = resources::Hold { flight, ..resources::Hold::default() };
     let result = run(state, request, hold).await;
     let mut answer = match result {
         Ok(answer) => ran(answer),
         Err(refusal) => refused(&refusal),
     };
-    if let Some(order::Ran(ran)) = answer.extensions().get() {
+    if let Some(call_spec::Ran(ran)) = answer.extensions().get() {
         let micros = u64::try_from(ran.as_micros()).unwrap_or(u64::MAX);
         let mut micros = header::HeaderValue::from(micros);
         micros.set_sensitive(true);
@@ -81,7 +81,7 @@
 async fn run<C: claim::Claims>(
     state: &Rc<state::State<C>>,
     request: http::Request<Incoming>,
-    mut hold: guard::Hold,
+    mut hold: resources::Hold,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
     const MALFORMED: refuse::Refusal = refuse::Refusal::not_run(retry::Reason::Malformed);
     let (parts, incoming) = request.into_parts();
@@ -89,11 +89,11 @@
     let service = text(headers::SERVICE).ok_or(MALFORMED)?;
     let class = text(headers::CLASS);
     let kind = text(headers::KIND).unwrap_or_default();
-    let weight = ask::number(&parts.headers, headers::WEIGHT)?.ok_or(MALFORMED)?;
-    let left = ask::number(&parts.headers, headers::DEADLINE)?.ok_or(MALFORMED)?;
-    let target = ask::number(&parts.headers, headers::TARGET)?.unwrap_or(left);
+    let weight = request_head::number(&parts.headers, headers::WEIGHT)?.ok_or(MALFORMED)?;
+    let left = request_head::number(&parts.headers, headers::DEADLINE)?.ok_or(MALFORMED)?;
+    let target = request_head::number(&parts.headers, headers::TARGET)?.unwrap_or(left);
     let now = state.ctx.now();
-    let order = order::Order {
+    let order = call_spec::Order {
         service: &service,
         class: class.as_deref(),
         kind: &kind,
@@ -103,7 +103,7 @@
         deadline: now + time::Duration::from_millis(left),
     };
     let intake = intake(state, &order, &parts, incoming).await?;
-    let request = inner::unwrap(parts, intake.attempt())?;
+    let request = internode::unwrap(parts, intake.attempt())?;
     owner::run(state, &order, request, &mut hold).await
 }
 
@@ -111,11 +111,11 @@
 /// would be refused is refused before its body takes up the link.
 async fn intake<C: claim::Claims>(
     state: &Rc<state::State<C>>,
-    order: &order::Order<'_>,
+    order: &call_spec::Order<'_>,
     parts: &http::request::Parts,
     incoming: Incoming,
 ) -> Result<upload::Intake, refuse::Refusal> {
-    let wire = wire::Wire::new(incoming, wire::Carrier::Inner);
+    let wire = received_body::Wire::new(incoming, received_body::Carrier::Inner);
     if !wire.is_end_stream() {
         owner::preview(state, order, &parts.headers)?;
     }
@@ -136,13 +136,16 @@
     request: &http::Request<Incoming>,
 ) -> http::Response<body::Reply> {
     let gone = refuse::Refusal::unknown(retry::Reason::Conflict);
-    let left = ask::number(request.headers(), headers::DEADLINE).ok().flatten().unwrap_or(0);
-    let Some((name, print)) = inner::asked(request.uri().path()) else { return refused(&gone) };
+    let left =
+        request_head::number(request.headers(), headers::DEADLINE).ok().flatten().unwrap_or(0);
+    let Some((name, print)) = internode::asked(request.uri().path()) else { return refused(&gone) };
     let find = state.held.find(name, print);
     match tokio::time::timeout(time::Duration::from_millis(left), find).await {
-        Ok(held::Found::Answer(answer)) => ran(answer.replay()),
-        Ok(held::Found::Released) => refused(&refuse::Refusal::not_run(retry::Reason::Conflict)),
-        Ok(held::Found::Gone) | Err(_) => refused(&gone),
+        Ok(held_answers::Found::Answer(answer)) => ran(answer.replay()),
+        Ok(held_answers::Found::Released) => {
+            refused(&refuse::Refusal::not_run(retry::Reason::Conflict))
+        }
+        Ok(held_answers::Found::Gone) | Err(_) => refused(&gone),
     }
 }
 
--- a/src/proxy/guard.rs
+++ b/src/proxy/resources.rs
@@ -9,11 +9,11 @@
 use crate::admit;
 use crate::context;
 use crate::pick;
+use crate::proxy::attempt;
 use crate::proxy::count;
 use crate::proxy::pool;
-use crate::proxy::runs;
+use crate::proxy::running_calls;
 use crate::proxy::slots;
-use crate::proxy::trip;
 use crate::retry;
 
 /// Counts the calls in flight.
@@ -65,9 +65,9 @@
     /// At the upstream's node: the slot.
     pub slot: Option<slots::Slot>,
     /// At the upstream's node: the call's place among those that run.
-    pub run: Option<runs::Running>,
+    pub run: Option<running_calls::Running>,
     /// At the entry: the attempt.
-    pub trip: Option<trip::Trip>,
+    pub trip: Option<attempt::Trip>,
     /// At the entry: the count.
     pub count: Option<count::Pending>,
     /// The place among the calls in flight.
@@ -102,7 +102,7 @@
         picker: &Rc<RefCell<pick::Picker>>,
         choice: pick::Choice,
     ) {
-        let mut trip = trip::Trip::start(ctx, Rc::clone(picker), choice);
+        let mut trip = attempt::Trip::start(ctx, Rc::clone(picker), choice);
         trip.note(retry::Event::Sending);
         self.trip = Some(trip);
     }
--- a/src/proxy/runs.rs
+++ b/src/proxy/running_calls.rs
@@ -8,8 +8,8 @@
 
 use http::header;
 
-use crate::proxy::ends;
-use crate::proxy::suspects;
+use crate::proxy::crash_detector;
+use crate::proxy::quarantine_filter;
 use crate::quarantine;
 
 #[cfg(test)]
@@ -32,9 +32,9 @@
     list: RefCell<Vec<Run>>,
     next: Cell<u64>,
     /// Told when the upstream breaks a call off.
-    ends: Rc<ends::Ends>,
+    ends: Rc<crash_detector::Ends>,
     /// Told when it answers one; `None` where nobody follows.
-    suspects: Option<Rc<suspects::Suspects>>,
+    suspects: Option<Rc<quarantine_filter::Suspects>>,
 }
 
 /// A call that runs until this is dropped.
@@ -51,7 +51,7 @@
 impl Runs {
     /// No call runs; `ends` is told of those that the upstream breaks off, `suspects` of those that it
     /// answers.
-    pub fn new(ends: Rc<ends::Ends>, suspects: Rc<suspects::Suspects>) -> Self {
+    pub fn new(ends: Rc<crash_detector::Ends>, suspects: Rc<quarantine_filter::Suspects>) -> Self {
         Self { ends, suspects: Some(suspects), ..Self::default() }
     }
 
--- a/src/proxy/serve.rs
+++ b/src/proxy/serve.rs
@@ -16,7 +16,7 @@
 use crate::proxy::caller;
 use crate::proxy::error;
 use crate::proxy::frame;
-use crate::proxy::inflow;
+use crate::proxy::inbound_link;
 use crate::proxy::links;
 use crate::proxy::peer;
 use crate::proxy::state;
@@ -138,7 +138,7 @@
         let stranger = stranger.clone();
         async move { answer.await.inspect_err(|_| stranger.send_modify(|s| *s = true)) }
     });
-    let plan = inflow::Plan::new(proxy);
+    let plan = inbound_link::Plan::new(proxy);
     let conn = http2::Builder::new(links::Here)
         .timer(TokioTimer::new())
         .initial_stream_window_size(plan.window)
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -20,26 +20,26 @@
 use crate::mesh;
 use crate::node;
 use crate::pick;
+use crate::proxy::attempt;
 use crate::proxy::body;
+use crate::proxy::body_memory;
+use crate::proxy::call_spec;
+use crate::proxy::caller_retries;
+use crate::proxy::crash_detector;
 use crate::proxy::dialect;
-use crate::proxy::ends;
-use crate::proxy::guard;
-use crate::proxy::held;
-use crate::proxy::inflow;
+use crate::proxy::held_answers;
+use crate::proxy::inbound_link;
 use crate::proxy::links;
-use crate::proxy::order;
-use crate::proxy::paces;
 use crate::proxy::pool;
+use crate::proxy::quarantine_filter;
 use crate::proxy::refuse;
-use crate::proxy::returns;
-use crate::proxy::room;
-use crate::proxy::runs;
+use crate::proxy::resources;
+use crate::proxy::run_times;
+use crate::proxy::running_calls;
 use crate::proxy::sizes;
 use crate::proxy::slots;
-use crate::proxy::split;
-use crate::proxy::suspects;
 use crate::proxy::trace;
-use crate::proxy::trip;
+use crate::proxy::traffic_split;
 use crate::proxy::upload;
 use crate::proxy::versions;
 use crate::proxy::wiring;
@@ -82,9 +82,9 @@
     /// Connections to other nodes.
     pub links: links::Links,
     /// Answers held for duplicates.
-    pub held: Rc<held::Held>,
+    pub held: Rc<held_answers::Held>,
     /// Calls in flight.
-    pub flights: Rc<guard::Flights>,
+    pub flights: Rc<resources::Flights>,
     /// Calls counted.
     pub tally: Rc<RefCell<usage::Tally>>,
     /// Tags of the mesh.
@@ -94,29 +94,29 @@
     /// Sizes of the answers to each kind of call.
     pub sizes: RefCell<sizes::Sizes>,
     /// Run times of each kind of call.
-    pub paces: RefCell<paces::Paces>,
+    pub paces: RefCell<run_times::Paces>,
     /// Log lines of single calls.
     pub trace: trace::Trace,
     /// The upstream beside this node that was seen last: its instance and life.
     seen: RefCell<Option<(SmolStr, u32)>>,
     /// Calls that run at the upstream beside this node.
-    pub runs: Rc<runs::Runs>,
+    pub runs: Rc<running_calls::Runs>,
     /// Ends of the upstream beside this node.
-    pub ends: Rc<ends::Ends>,
+    pub ends: Rc<crash_detector::Ends>,
     /// Makes the fingerprints of requests.
     pub printer: quarantine::Fingerprinter,
     /// Requests under which upstreams end.
-    pub suspects: Rc<suspects::Suspects>,
+    pub suspects: Rc<quarantine_filter::Suspects>,
     /// Callers that were refused and may come back.
-    pub returns: RefCell<returns::Returns>,
+    pub returns: RefCell<caller_retries::Returns>,
     /// Versions of upstreams in roll-outs.
     pub rollouts: versions::Versions,
     /// Turns of the split routes.
-    pub splitter: RefCell<split::Splitter>,
+    pub splitter: RefCell<traffic_split::Splitter>,
     /// Memory for bodies of requests.
-    pub room: Rc<room::Room>,
+    pub room: Rc<body_memory::Room>,
     /// Turns of long bodies from other nodes.
-    pub inflow: inflow::Inflow,
+    pub inflow: inbound_link::Inflow,
     /// When the last answers have to be on their way; `None` until a planned stop begins.
     pub last: Cell<Option<clock::Instant>>,
     /// Start of the identities of calls made here.
@@ -139,10 +139,11 @@
             picker = picker.at(me);
         }
         let seal = seal::Seal::new(&settings.mesh, &settings.key);
-        let ends = Rc::<ends::Ends>::default();
-        let suspects = Rc::new(suspects::Suspects::new(ctx, me, wiring.quarantine.clone()));
+        let ends = Rc::<crash_detector::Ends>::default();
+        let suspects =
+            Rc::new(quarantine_filter::Suspects::new(ctx, me, wiring.quarantine.clone()));
         let proxy = &settings.proxy;
-        let limits = held::Limits {
+        let limits = held_answers::Limits {
             time: time::Duration::from_millis(proxy.held_ms),
             count: proxy.held_count,
             bytes: proxy.held_bytes,
@@ -161,7 +162,7 @@
             slots: Rc::new(slots::Slots::new(ctx)),
             pool: Rc::new(pool::Pool::new(idle)),
             links: links::Links::new(me, seal.clone(), Arc::clone(&settings)),
-            held: Rc::new(held::Held::new(limits)),
+            held: Rc::new(held_answers::Held::new(limits)),
             flights: Rc::default(),
             tally: Rc::default(),
             dialect: wiring.dialect.clone(),
@@ -170,15 +171,15 @@
             trace: trace::Trace::default(),
             seen: RefCell::default(),
             returns: RefCell::default(),
-            runs: Rc::new(runs::Runs::new(Rc::clone(&ends), Rc::clone(&suspects))),
+            runs: Rc::new(running_calls::Runs::new(Rc::clone(&ends), Rc::clone(&suspects))),
             suspects,
             ends,
             printer: quarantine::Fingerprinter::new(&seal),
             seal,
             rollouts: versions::Versions::default(),
             splitter: RefCell::default(),
-            room: Rc::new(room::Room::new(proxy.kept_bytes)),
-            inflow: inflow::Inflow::new(inflow::Plan::new(proxy)),
+            room: Rc::new(body_memory::Room::new(proxy.kept_bytes)),
+            inflow: inbound_link::Inflow::new(inbound_link::Plan::new(proxy)),
             last: Cell::new(None),
             prefix: ctx.seed_for("call"),
             next: Cell::new(0),
@@ -252,7 +253,7 @@
     /// The load of the upstream beside this node, as others are to see it: the wait for the host's
     /// link counts as calls that wait as long for a slot.
     pub fn load(&self) -> admit::Load {
-        let wait = inflow::link_time(&self.settings.proxy, self.inflow.ahead());
+        let wait = inbound_link::link_time(&self.settings.proxy, self.inflow.ahead());
         self.slots.load().and_wait(wait)
     }
 
@@ -262,11 +263,11 @@
         &self,
         kind: &str,
         status: http::StatusCode,
-        ran: order::Ran,
-        hold: &mut guard::Hold,
+        ran: call_spec::Ran,
+        hold: &mut resources::Hold,
     ) {
         // What a version that is tried takes says nothing of what is usual.
-        let usual = |trip: &&mut trip::Trip| status.is_success() && !trip.is_tried();
+        let usual = |trip: &&mut attempt::Trip| status.is_success() && !trip.is_tried();
         if let Some(trip) = hold.trip.as_mut().filter(usual) {
             trip.pace(self.paces.borrow_mut().note(kind, ran.0));
         }
@@ -281,7 +282,7 @@
     ) -> Option<versions::Result> {
         match result {
             Ok(answer) => {
-                let ran = answer.extensions().get::<order::Ran>();
+                let ran = answer.extensions().get::<call_spec::Ran>();
                 let times = ran.map(|ran| ran.0).zip(self.paces.borrow().usual(kind));
                 Some(versions::Result { failed: answer.status().is_server_error(), times })
             }
--- a/src/proxy/split/tests.rs
+++ b/src/proxy/traffic_split/tests.rs
@@ -1,7 +1,7 @@
 use rstest::rstest;
 
 use crate::mesh;
-use crate::proxy::split;
+use crate::proxy::traffic_split;
 
 fn route(weights: &[u32]) -> mesh::Route {
     let part = |(i, &weight): (u16, &u32)| mesh::Part { service: mesh::ServiceKey(i), weight };
@@ -19,7 +19,7 @@
 
 /// How many of `calls` each part of a route with these weights gets.
 fn shares(weights: &[u32], calls: usize) -> Vec<usize> {
-    let (route, mut splitter) = (route(weights), split::Splitter::default());
+    let (route, mut splitter) = (route(weights), traffic_split::Splitter::default());
     let mut counts = vec![0; weights.len()];
     for _ in 0..calls {
         counts[usize::from(splitter.next(&route).0)] += 1;
@@ -43,13 +43,13 @@
 
 #[test]
 fn a_route_that_is_not_split_keeps_its_service() {
-    let (route, mut splitter) = (route(&[]), split::Splitter::default());
+    let (route, mut splitter) = (route(&[]), traffic_split::Splitter::default());
     assert_eq!(splitter.next(&route), mesh::ServiceKey(0));
 }
 
 #[test]
 fn new_weights_begin_anew() {
-    let mut splitter = split::Splitter::default();
+    let mut splitter = traffic_split::Splitter::default();
     splitter.next(&route(&[90, 10]));
     let turned = route(&[10, 90]);
     let first: Vec<u16> = (0..10).map(|_| splitter.next(&turned).0).collect();
--- a/src/proxy/upload.rs
+++ b/src/proxy/upload.rs
@@ -12,9 +12,9 @@
 use hyper::body::Body as _;
 use hyper::body::{Frame, SizeHint};
 
+use crate::proxy::body_memory;
 use crate::proxy::error;
-use crate::proxy::room;
-use crate::proxy::wire;
+use crate::proxy::received_body;
 use crate::quarantine;
 use crate::retry;
 
@@ -33,7 +33,7 @@
     /// The body.
     pub bytes: Bytes,
     /// Its share of the memory for bodies; an empty one has none.
-    _share: Option<room::Share>,
+    _share: Option<body_memory::Share>,
 }
 
 /// Brings the parts of a body in one after the other.
@@ -41,7 +41,7 @@
     /// The next part of `rest`, when it may come in.
     fn next(
         &mut self,
-        rest: &mut wire::Wire,
+        rest: &mut received_body::Wire,
     ) -> impl Future<Output = Option<Result<Frame<Bytes>, error::Broken>>>;
 }
 
@@ -50,7 +50,10 @@
 pub struct AtOnce;
 
 impl Pace for AtOnce {
-    async fn next(&mut self, rest: &mut wire::Wire) -> Option<Result<Frame<Bytes>, error::Broken>> {
+    async fn next(
+        &mut self,
+        rest: &mut received_body::Wire,
+    ) -> Option<Result<Frame<Bytes>, error::Broken>> {
         rest.frame().await
     }
 }
@@ -63,7 +66,7 @@
     /// Largest body, in bytes.
     pub limit: u64,
     /// Memory for all bodies that are read whole.
-    pub room: &'a Rc<room::Room>,
+    pub room: &'a Rc<body_memory::Room>,
 }
 
 /// A body that streams.
@@ -71,7 +74,7 @@
 pub struct Source {
     /// What was read before the first attempt; each attempt starts with it.
     head: Bytes,
-    rest: wire::Wire,
+    rest: received_body::Wire,
     /// Whether an attempt has taken a byte of `rest`, so that no other can begin.
     taken: bool,
     /// Bytes read so far.
@@ -99,7 +102,7 @@
     /// [`retry::Reason::TooLarge`] when it is known to be larger than `bounds.limit` bytes,
     /// [`retry::Reason::Cut`] when it ends early.
     pub async fn read<P: Pace>(
-        mut rest: wire::Wire,
+        mut rest: received_body::Wire,
         bounds: &Bounds<'_>,
         pace: &mut P,
     ) -> Result<Self, retry::Reason> {
