--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt under way, reported to the picker when it ends.
+//! An attempt in flight, reported to the picker when it ends.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,20 +10,21 @@
 use crate::retry;
 use crate::rollout;
 
-/// An attempt at a picked upstream. Dropped before its end, the caller has left.
-pub struct Trip {
+/// An attempt at a picked upstream. Dropped before its end, it is reported as cancelled, since its
+/// caller has left.
+pub struct Attempt {
     ctx: context::Context,
     picker: Rc<RefCell<pick::Picker>>,
     choice: pick::Choice,
     started: clock::Instant,
     load: Option<admit::Load>,
-    pace: Option<f32>,
-    attempt: retry::Attempt,
+    relative_time: Option<f32>,
+    state: retry::Attempt,
     ended: bool,
 }
 
-impl Trip {
-    /// An attempt that starts now.
+impl Attempt {
+    /// Starts an attempt and tells the picker.
     pub fn start(
         ctx: context::Context,
         picker: Rc<RefCell<pick::Picker>>,
@@ -31,55 +32,55 @@
     ) -> Self {
         let started = ctx.now();
         picker.borrow_mut().started(choice, started);
-        let attempt = retry::Attempt::new();
-        Self { ctx, picker, choice, started, load: None, pace: None, attempt, ended: false }
+        let state = retry::Attempt::new();
+        Self { ctx, picker, choice, started, load: None, relative_time: None, state, ended: false }
     }
 
-    /// Notes the load that came back with the answer.
-    pub fn load(&mut self, load: Option<admit::Load>) {
+    /// Sets the load that the answer carried.
+    pub fn set_load(&mut self, load: Option<admit::Load>) {
         self.load = load;
     }
 
-    /// Notes the time that the upstream took, as a multiple of that of all upstreams.
-    pub fn pace(&mut self, pace: f32) {
-        self.pace = Some(pace);
+    /// Sets the run time at the upstream, as a multiple of the mean over all upstreams.
+    pub fn set_relative_time(&mut self, relative_time: f32) {
+        self.relative_time = Some(relative_time);
     }
 
-    /// Whether it goes to a version that is not proven.
-    pub fn is_tried(&self) -> bool {
+    /// Whether it goes to the new version of a roll-out, which is still under trial.
+    pub fn is_trial(&self) -> bool {
         self.choice.target.side == rollout::Side::New
     }
 
-    /// Takes in what happened.
-    pub fn note(&mut self, event: retry::Event) {
-        self.attempt.handle(event);
+    /// Applies an event.
+    pub fn handle(&mut self, event: retry::Event) {
+        self.state.handle(event);
     }
 
-    /// The attempt ends with `event`.
+    /// Ends the attempt with `event`.
     pub fn end(mut self, event: retry::Event) -> retry::Outcome {
         self.finish(event)
     }
 
     fn finish(&mut self, event: retry::Event) -> retry::Outcome {
         self.ended = true;
-        self.attempt.handle(event);
+        self.state.handle(event);
         let unclear = retry::Outcome::Unknown(retry::Reason::Malformed);
-        let outcome = self.attempt.outcome().unwrap_or(unclear);
+        let outcome = self.state.outcome().unwrap_or(unclear);
         let now = self.ctx.now();
         let latency = now.since(self.started);
-        let report = pick::Report { outcome, load: self.load, pace: self.pace, latency };
+        let report = pick::Report { outcome, load: self.load, pace: self.relative_time, latency };
         self.picker.borrow_mut().ended(self.choice, &report, now);
         outcome
     }
 }
 
-impl std::fmt::Debug for Trip {
+impl std::fmt::Debug for Attempt {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Trip").field("choice", &self.choice).finish_non_exhaustive()
     }
 }
 
-impl Drop for Trip {
+impl Drop for Attempt {
     fn drop(&mut self) {
         if !self.ended {
             self.finish(retry::Event::Failed(retry::Reason::Cancelled));
--- a/src/proxy/body.rs
+++ b/src/proxy/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers: small ones are read whole first, long ones stream.
+//! Bodies of answers: short ones are buffered, long ones are streamed.
 
 use std::future::Future as _;
 use std::pin::Pin;
@@ -16,85 +16,85 @@
 use crate::proxy::resources;
 use crate::retry;
 
-/// Body of an answer.
+/// The body of an answer.
 #[derive(Debug)]
 pub enum Reply {
-    /// Read whole; `None` once given out.
-    Whole(Option<Bytes>),
-    /// Streams.
+    /// Read to its end; `None` once it was sent.
+    Buffered(Option<Bytes>),
+    /// Streamed.
     Stream(Box<Stream>),
 }
 
-/// A body that streams. It ends in an error when it is cut, or when the deadline passes.
+/// A streamed body. It ends in an error if it breaks off or the deadline passes.
 #[derive(Debug)]
 pub struct Stream {
     head: Option<Bytes>,
-    rest: received_body::Wire,
+    rest: received_body::ReceivedBody,
     end: Pin<Box<time::Sleep>>,
-    hold: Option<resources::Hold>,
+    resources: Option<resources::Resources>,
 }
 
 impl Reply {
-    /// A whole body.
-    pub const fn whole(bytes: Bytes) -> Self {
-        Self::Whole(Some(bytes))
+    /// A buffered body.
+    pub const fn buffered(bytes: Bytes) -> Self {
+        Self::Buffered(Some(bytes))
     }
 
-    /// Reads up to `most` bytes of `rest`; a longer body streams on until `end`.
+    /// Buffers a body of up to `max_buffered` bytes; a longer one is streamed until `end`.
     ///
-    /// `hold` is told when the last byte has been read, and goes with a body that streams.
+    /// `resources` are released once the last byte has been read. A streamed body takes them along.
     ///
     /// # Errors
     ///
-    /// The answer may belong to a call that ran: it is cut, or not there by `end`. `hold` is left
-    /// as it is.
+    /// An unknown outcome, as the call may have run: the body broke off, or did not end before
+    /// `end`. `resources` stay with the caller of this function.
     pub async fn read(
-        mut rest: received_body::Wire,
-        most: u64,
+        mut rest: received_body::ReceivedBody,
+        max_buffered: u64,
         end: time::Instant,
-        hold: &mut resources::Hold,
+        resources: &mut resources::Resources,
     ) -> Result<Self, refuse::Refusal> {
         let sized = rest.size_hint().exact();
         let mut head = Bytes::new();
-        let mut more = BytesMut::new();
-        if sized.is_none_or(|n| n <= most) {
+        let mut buffer = BytesMut::new();
+        if sized.is_none_or(|n| n <= max_buffered) {
             loop {
                 let Some(frame) = next(&mut rest, end).await? else {
-                    hold.whole();
-                    return Ok(Self::whole(joined(head, more)));
+                    resources.complete();
+                    return Ok(Self::buffered(concat(head, buffer)));
                 };
                 let Ok(data) = frame.into_data() else { continue };
-                if head.is_empty() && more.is_empty() {
+                if head.is_empty() && buffer.is_empty() {
                     head = data;
                 } else {
-                    if more.is_empty() {
-                        more.extend_from_slice(&head);
+                    if buffer.is_empty() {
+                        buffer.extend_from_slice(&head);
                     }
-                    more.extend_from_slice(&data);
+                    buffer.extend_from_slice(&data);
                 }
-                if head.len().max(more.len()) as u64 > most {
+                if head.len().max(buffer.len()) as u64 > max_buffered {
                     break;
                 }
             }
         }
-        let head = Some(joined(head, more)).filter(|h| !h.is_empty());
+        let head = Some(concat(head, buffer)).filter(|h| !h.is_empty());
         let end = Box::pin(time::sleep_until(end));
-        let hold = std::mem::take(hold);
-        Ok(Self::Stream(Box::new(Stream { head, rest, end, hold: Some(hold) })))
+        let resources = std::mem::take(resources);
+        Ok(Self::Stream(Box::new(Stream { head, rest, end, resources: Some(resources) })))
     }
 
-    /// The whole body, if it was read whole and not given out yet.
+    /// The body, if it is buffered and was not sent yet.
     pub const fn bytes(&self) -> Option<&Bytes> {
         match self {
-            Reply::Whole(Some(bytes)) => Some(bytes),
-            Reply::Whole(None) | Reply::Stream(_) => None,
+            Reply::Buffered(Some(bytes)) => Some(bytes),
+            Reply::Buffered(None) | Reply::Stream(_) => None,
         }
     }
 }
 
-/// The next frame of a body that is read whole.
+/// The next frame of a body that is being buffered.
 async fn next(
-    rest: &mut received_body::Wire,
+    rest: &mut received_body::ReceivedBody,
     end: time::Instant,
 ) -> Result<Option<Frame<Bytes>>, refuse::Refusal> {
     let frame = time::timeout_at(end, rest.frame()).await;
@@ -102,9 +102,9 @@
     frame.transpose().map_err(|_| refuse::Refusal::unknown(retry::Reason::Cut))
 }
 
-/// `more` holds everything once a second piece came.
-fn joined(head: Bytes, more: BytesMut) -> Bytes {
-    if more.is_empty() { head } else { more.freeze() }
+/// The bytes read so far: all of them are in `buffer` if it is not empty, and in `head` otherwise.
+fn concat(head: Bytes, buffer: BytesMut) -> Bytes {
+    if buffer.is_empty() { head } else { buffer.freeze() }
 }
 
 impl Stream {
@@ -115,29 +115,29 @@
         if let Some(head) = self.head.take() {
             return task::Poll::Ready(Some(Ok(Frame::data(head))));
         }
-        if self.hold.is_none() {
+        if self.resources.is_none() {
             return task::Poll::Ready(None);
         }
         if let task::Poll::Ready(frame) = Pin::new(&mut self.rest).poll_frame(cx) {
             match &frame {
-                None => self.release(None),
-                Some(Err(_)) => self.release(Some(retry::Reason::Cut)),
+                None => self.finish(None),
+                Some(Err(_)) => self.finish(Some(retry::Reason::Cut)),
                 Some(Ok(_)) => {}
             }
             return task::Poll::Ready(frame);
         }
         if self.end.as_mut().poll(cx).is_ready() {
-            self.release(Some(retry::Reason::Timeout));
-            return task::Poll::Ready(Some(Err(error::Broken::Late)));
+            self.finish(Some(retry::Reason::Timeout));
+            return task::Poll::Ready(Some(Err(error::Broken::Timeout)));
         }
         task::Poll::Pending
     }
 
-    fn release(&mut self, broken: Option<retry::Reason>) {
-        let Some(mut hold) = self.hold.take() else { return };
-        match broken {
-            None => hold.whole(),
-            Some(reason) => hold.broken(reason),
+    fn finish(&mut self, failure: Option<retry::Reason>) {
+        let Some(mut resources) = self.resources.take() else { return };
+        match failure {
+            None => resources.complete(),
+            Some(reason) => resources.abort(reason),
         }
     }
 }
@@ -151,7 +151,7 @@
         cx: &mut task::Context<'_>,
     ) -> task::Poll<Option<Result<Frame<Bytes>, error::Broken>>> {
         match self.get_mut() {
-            Reply::Whole(bytes) => {
+            Reply::Buffered(bytes) => {
                 let bytes = bytes.take().filter(|b| !b.is_empty());
                 task::Poll::Ready(bytes.map(|b| Ok(Frame::data(b))))
             }
@@ -161,14 +161,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Reply::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            Reply::Buffered(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
             Reply::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Reply::Whole(bytes) => {
+            Reply::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
             Reply::Stream(stream) => {
--- a/src/proxy/body_memory.rs
+++ b/src/proxy/body_memory.rs
@@ -1,4 +1,4 @@
-//! Memory for bodies of requests that are held whole, bounded for the whole process.
+//! A bound on the memory for buffered bodies of requests, for the whole process.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,44 +6,44 @@
 #[cfg(test)]
 mod tests;
 
-/// Bytes that bodies may still take up.
+/// The memory that bodies may still take up.
 #[derive(Debug)]
-pub struct Room {
+pub struct BodyMemory {
     free: Cell<u64>,
 }
 
-/// Bytes taken from a room; dropped, they are free again.
+/// Reserved bytes, which are free again when this is dropped.
 #[derive(Debug)]
-pub struct Share {
-    room: Rc<Room>,
+pub struct Reservation {
+    memory: Rc<BodyMemory>,
     bytes: u64,
 }
 
-impl Room {
-    /// A room of `bytes`.
+impl BodyMemory {
+    /// A memory of `bytes`.
     pub const fn new(bytes: u64) -> Self {
         Self { free: Cell::new(bytes) }
     }
 
-    /// Takes `bytes`; `None` when fewer are free.
-    pub fn take(self: &Rc<Self>, bytes: u64) -> Option<Share> {
+    /// Reserves `bytes`; `None` when fewer are free.
+    pub fn reserve(self: &Rc<Self>, bytes: u64) -> Option<Reservation> {
         let free = self.free.get().checked_sub(bytes)?;
         self.free.set(free);
-        Some(Share { room: Rc::clone(self), bytes })
+        Some(Reservation { memory: Rc::clone(self), bytes })
     }
 }
 
-impl Share {
-    /// Gives back all but `bytes`.
+impl Reservation {
+    /// Frees all but `bytes`.
     pub fn shrink(&mut self, bytes: u64) {
         let spare = self.bytes.saturating_sub(bytes);
         self.bytes -= spare;
-        self.room.free.set(self.room.free.get() + spare);
+        self.memory.free.set(self.memory.free.get() + spare);
     }
 }
 
-impl Drop for Share {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.room.free.set(self.room.free.get() + self.bytes);
+        self.memory.free.set(self.memory.free.get() + self.bytes);
     }
 }
--- a/src/proxy/call.rs
+++ b/src/proxy/call.rs
@@ -1,4 +1,4 @@
-//! A caller's call at its entry, and its attempts.
+//! A caller's call at its entry node, and its attempts.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -29,25 +29,25 @@
 use crate::retry;
 use crate::rollout;
 
-/// Time an owner's last word may come after the deadline: it knows whether the call ran.
-const LAST_WORD: time::Duration = time::Duration::from_millis(5);
+/// How long after the deadline the owner node's reply is awaited, as it tells whether the call ran.
+const REPLY_GRACE: time::Duration = time::Duration::from_millis(5);
 
-/// A call at its entry.
+/// A call at its entry node.
 #[derive(Debug)]
-pub struct Job {
-    /// What the caller asked.
-    pub ask: request_head::Ask,
-    /// Its body.
-    pub intake: upload::Intake,
-    /// Configuration in force when it came.
+pub struct Call {
+    /// Head of the caller's request.
+    pub head: request_head::RequestHead,
+    /// Body of the caller's request.
+    pub body: upload::Body,
+    /// Configuration in force when the call arrived.
     pub applied: Arc<mesh::Applied>,
-    /// Its route in that configuration.
+    /// Route of the call in that configuration.
     pub route: mesh::RouteKey,
-    /// The service that serves it, one of those the route allows.
+    /// The service that serves the call, one of those of the route.
     pub service: mesh::ServiceKey,
-    /// Whether a call that runs at the upstream beside this node makes it.
-    pub inner: bool,
-    /// Until when an answer has its full worth.
+    /// Whether the call is nested: made by a call that runs at the local upstream.
+    pub nested: bool,
+    /// When the target latency of the call ends.
     pub target: clock::Instant,
     /// When the caller gives up.
     pub deadline: clock::Instant,
@@ -56,11 +56,11 @@
 /// An attempt that failed.
 struct Failed {
     refusal: refuse::Refusal,
-    /// `None` when no host was picked.
+    /// `None` if no host was picked.
     host: Option<host::HostId>,
 }
 
-impl Job {
+impl Call {
     fn route(&self) -> &mesh::Route {
         self.applied.mesh.route(self.route)
     }
@@ -80,8 +80,8 @@
         class.map(|c| self.applied.mesh.class(c))
     }
 
-    /// What to pick for `side`, in the keys of the configuration that the picker's table was built
-    /// from. `None` when a newer configuration no longer has it.
+    /// The target to pick for `side`, in the keys of `current`, the configuration from which the
+    /// picker's table was built. `None` if that configuration lacks the service or class.
     fn target(&self, current: &Arc<mesh::Applied>, side: rollout::Side) -> Option<pick::Target> {
         if Arc::ptr_eq(&self.applied, current) {
             let class = self.class().and(self.route().class);
@@ -101,36 +101,41 @@
         })
     }
 
-    fn order(&self) -> call_spec::Order<'_> {
-        call_spec::Order {
+    fn spec(&self) -> call_spec::CallSpec<'_> {
+        call_spec::CallSpec {
             service: &self.service().name,
             class: self.class().map(|c| c.name.as_str()),
             kind: &self.kind().name,
-            weight: rank(self.kind()),
-            inner: self.inner,
+            weight: queue_weight(self.kind()),
+            nested: self.nested,
             target: self.target,
             deadline: self.deadline,
         }
     }
 
-    /// The fingerprint of the call's request, as its upstream's node makes it.
-    fn print(&self, printer: &quarantine::Fingerprinter) -> quarantine::Fingerprint {
-        let ask = &self.ask;
-        let host = ask.host.as_ref().map_or("", http::uri::Authority::as_str);
-        let body = self.intake.attempt();
-        printer.fingerprint(ask.method.as_str(), host, ask.path.as_str(), body.print())
+    /// The fingerprint of the request, equal to the one that the owner node computes.
+    fn fingerprint(&self, fingerprinter: &quarantine::Fingerprinter) -> quarantine::Fingerprint {
+        let head = &self.head;
+        let host = head.host.as_ref().map_or("", http::uri::Authority::as_str);
+        let body = self.body.attempt();
+        fingerprinter.fingerprint(
+            head.method.as_str(),
+            host,
+            head.path.as_str(),
+            body.fingerprint_body(),
+        )
     }
 
-    /// The request of attempt number `attempt`.
+    /// The request for attempt number `attempt`.
     fn request(&self, attempt: u8, verbose: bool) -> http::Request<upload::Upload> {
-        let mut request = http::Request::new(self.intake.attempt());
-        *request.method_mut() = self.ask.method.clone();
-        *request.uri_mut() = http::Uri::from(self.ask.path.clone());
-        let mut map = self.ask.headers.clone();
+        let mut request = http::Request::new(self.body.attempt());
+        *request.method_mut() = self.head.method.clone();
+        *request.uri_mut() = http::Uri::from(self.head.path.clone());
+        let mut map = self.head.headers.clone();
         if verbose {
-            let attempt = u16::from(attempt.max(self.ask.outer));
+            let attempt = u16::from(attempt.max(self.head.outer_attempt));
             map.insert(headers::ATTEMPT, header::HeaderValue::from(attempt));
-            let depth = u16::from(self.ask.depth.saturating_add(1));
+            let depth = u16::from(self.head.depth.saturating_add(1));
             map.insert(headers::DEPTH, header::HeaderValue::from(depth));
         }
         *request.headers_mut() = map;
@@ -138,66 +143,66 @@
     }
 }
 
-/// Weight of a call of `kind` in the owner's queue: the more urgent kinds first, and among kinds of
-/// one priority the heavier ones.
-fn rank(kind: &mesh::Kind) -> u32 {
-    /// Bits for the weight within one priority; the largest weight of a configuration fits.
+/// Weight of a call of `kind` in the owner node's queue: kinds of higher priority (a lower number)
+/// come first, and among kinds of the same priority those of greater weight.
+fn queue_weight(kind: &mesh::Kind) -> u32 {
+    /// Bits for the weight within a priority. The maximum weight of a configuration fits.
     const WEIGHT_BITS: u32 = 20;
     let urgency = u32::from(u8::MAX - kind.priority);
     (urgency << WEIGHT_BITS) | kind.weight.min((1 << WEIGHT_BITS) - 1)
 }
 
-/// Makes attempts until one is answered or nothing else may be tried.
+/// Makes attempts until one is answered or no other attempt is allowed.
 ///
 /// # Errors
 ///
-/// The last attempt's refusal.
+/// The refusal of the last attempt, with an unknown outcome if an earlier attempt may have run.
 pub async fn run<C: claim::Claims>(
     state: &Rc<state::State<C>>,
-    job: &Job,
-    mut hold: resources::Hold,
+    call: &Call,
+    mut resources: resources::Resources,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
     let mut avoid = Vec::new();
     let mut attempt = 1;
-    let mut before = None;
-    let mut doubt = None;
+    let mut previous = None;
+    let mut unknown = None;
     loop {
-        let mut failed = match once(state, job, attempt, &avoid, &mut hold).await {
+        let mut failed = match try_once(state, call, attempt, &avoid, &mut resources).await {
             Ok(answer) => {
-                // What is allowed at a service is a share of callers' calls; those of running calls may be
-                // three times as many and would let it be called again beyond that.
-                if !job.inner {
-                    state.budget(job.service(), retry::Budget::served);
+                // The retry budget of a service is a share of its callers' calls. Nested calls may
+                // be three times as many and would raise the budget beyond that share.
+                if !call.nested {
+                    state.budget(call.service(), retry::Budget::served);
                 }
                 return Ok(answer);
             }
             Err(failed) => failed,
         };
         if failed.host.is_none() {
-            // That nobody else is left tells less than why the attempt before failed.
-            failed.refusal = before.unwrap_or(failed.refusal);
+            // The reason of the previous attempt says more than that no other upstream remains.
+            failed.refusal = previous.unwrap_or(failed.refusal);
         }
-        doubt = doubt.or(uncertain(failed.refusal.outcome));
-        let decision = decide(state, job, attempt, &failed);
-        tell(state, job, attempt, &failed, &decision);
+        unknown = unknown.or(unknown_reason(failed.refusal.outcome));
+        let decision = decide(state, call, attempt, &failed);
+        log_failure(state, call, attempt, &failed, &decision);
         match decision {
             retry::Decision::Again { avoid: host } => avoid.extend(host),
             retry::Decision::Final { outcome, retry_after } => {
-                // A last attempt that did not run says nothing of one before it that may have.
-                let outcome = doubt.map_or(outcome, retry::Outcome::Unknown);
-                if let Some(count) = hold.count.take() {
+                // The last attempt did not run, but an earlier one may have.
+                let outcome = unknown.map_or(outcome, retry::Outcome::Unknown);
+                if let Some(count) = resources.count.take() {
                     count.ended(outcome);
                 }
                 return Err(refuse::Refusal::new(outcome, retry_after));
             }
         }
-        before = Some(failed.refusal);
+        previous = Some(failed.refusal);
         attempt += 1;
     }
 }
 
-/// Why nobody can say whether an attempt ran, if that is so.
-const fn uncertain(outcome: retry::Outcome) -> Option<retry::Reason> {
+/// The reason why it is unknown whether an attempt ran; `None` if it is known.
+const fn unknown_reason(outcome: retry::Outcome) -> Option<retry::Reason> {
     match outcome {
         retry::Outcome::Unknown(reason) => Some(reason),
         retry::Outcome::NotRun(_) | retry::Outcome::Ran => None,
@@ -206,155 +211,159 @@
 
 fn decide<C: claim::Claims>(
     state: &state::State<C>,
-    job: &Job,
+    call: &Call,
     attempt: u8,
     failed: &Failed,
 ) -> retry::Decision {
-    let call = retry::Call {
-        idempotent: job.kind().idempotent,
+    let facts = retry::Call {
+        idempotent: call.kind().idempotent,
         attempt,
-        attempts: job.kind().attempts.unwrap_or(state.settings.call.attempts),
-        depth: job.ask.depth.max(u8::from(job.inner)),
-        outer: job.ask.outer,
-        deadline: job.deadline,
+        attempts: call.kind().attempts.unwrap_or(state.settings.call.attempts),
+        depth: call.head.depth.max(u8::from(call.nested)),
+        outer: call.head.outer_attempt,
+        deadline: call.deadline,
         answered: 0,
-        held: job.intake.repeats(),
+        held: call.body.is_repeatable(),
         host: failed.host,
         retry_after: failed.refusal.retry_after,
     };
     let now = state.ctx.now();
-    state.budget(job.service(), |budget| retry::next(&call, failed.refusal.outcome, budget, now))
+    state.budget(call.service(), |budget| retry::next(&facts, failed.refusal.outcome, budget, now))
 }
 
-/// Logs an attempt that failed and what follows from it.
-fn tell<C: claim::Claims>(
+/// Logs a failed attempt and whether another one follows.
+fn log_failure<C: claim::Claims>(
     state: &state::State<C>,
-    job: &Job,
+    call: &Call,
     number: u8,
     failed: &Failed,
     decision: &retry::Decision,
 ) {
     let now = state.ctx.now();
     let attempt = trace::Attempt {
-        id: &job.ask.id,
-        route: &job.route().name,
-        service: &job.service().name,
+        id: &call.head.id,
+        route: &call.route().name,
+        service: &call.service().name,
         host: failed.host,
         number,
         outcome: failed.refusal.outcome,
         again: matches!(decision, retry::Decision::Again { .. }),
-        inner: job.inner,
-        left: job.deadline.since(now),
+        nested: call.nested,
+        remaining: call.deadline.since(now),
     };
     state.trace.attempt(&attempt, now);
 }
 
-/// Makes one attempt.
-async fn once<C: claim::Claims>(
+/// Makes a single attempt.
+async fn try_once<C: claim::Claims>(
     state: &Rc<state::State<C>>,
-    job: &Job,
+    call: &Call,
     attempt: u8,
     avoid: &[host::HostId],
-    hold: &mut resources::Hold,
+    resources: &mut resources::Resources,
 ) -> Result<http::Response<body::Reply>, Failed> {
-    // Before each attempt: a request that ends upstreams would be carried from one to the next.
-    let check = state.suspects.check_entry(|| job.print(&state.printer));
+    // Checked before each attempt: retries would carry a request that crashes upstreams to each
+    // one.
+    let check = state.quarantine.check_entry(|| call.fingerprint(&state.fingerprinter));
     check.map_err(|refusal| Failed { refusal, host: None })?;
-    let toll = toll(state, job);
-    let Some(choice) = choose(state, job, toll, avoid) else {
+    let transfer_cost = transfer_cost(state, call);
+    let Some(choice) = choose(state, call, transfer_cost, avoid) else {
         let refusal = refuse::Refusal::not_run(retry::Reason::NoUpstream);
         return Err(Failed { refusal, host: None });
     };
-    hold.start(state.ctx, &state.picker, choice);
-    let mut request = job.request(attempt, state.dialect.verbose);
+    resources.start_attempt(state.ctx, &state.picker, choice);
+    let mut request = call.request(attempt, state.dialect.verbose);
     let result = if choice.host == state.me {
-        internode::name_host(&mut request, job.ask.host.as_ref());
-        owner::run(state, &job.order(), request, hold).await
+        internode::set_host(&mut request, call.head.host.as_ref());
+        owner::run(state, &call.spec(), request, resources).await
     } else {
-        remote(state, job, choice.host, request, hold).await
+        remote(state, call, choice.host, request, resources).await
     };
-    note(state, job, choice.target.side, &result);
+    record_old(state, call, choice.target.side, &result);
     if let Ok(answer) = &result {
         let bytes = answer.body().size_hint();
         let bytes = bytes.exact().unwrap_or(bytes.lower());
-        state.sizes.borrow_mut().note(&job.kind().name, bytes);
+        state.sizes.borrow_mut().record(&call.kind().name, bytes);
     }
     result.map_err(|mut refusal| {
-        refusal.outcome = truth(hold.failed(refusal.outcome), job.intake.fault());
+        refusal.outcome =
+            with_body_fault(resources.fail_attempt(refusal.outcome), call.body.fault());
         Failed { refusal, host: Some(choice.host) }
     })
 }
 
-/// The upstream for an attempt, of the versions whose turn it is.
+/// Picks the upstream for an attempt, among the versions that the roll-out selects for this call.
 fn choose<C: claim::Claims>(
     state: &state::State<C>,
-    job: &Job,
-    toll: pick::TransferCost,
+    call: &Call,
+    transfer_cost: pick::TransferCost,
     avoid: &[host::HostId],
 ) -> Option<pick::Choice> {
-    let (now, service) = (state.ctx.now(), &job.service().name);
+    let (now, service) = (state.ctx.now(), &call.service().name);
     let current = state.applied();
     let pick = |side| {
-        let target = job.target(&current, side)?;
-        state.picker.borrow_mut().pick_far(target, toll, now, avoid)
+        let target = call.target(&current, side)?;
+        state.picker.borrow_mut().pick_far(target, transfer_cost, now, avoid)
     };
     let side = state.rollouts.next(service, now);
-    pick(side).or_else(|| pick(state.rollouts.instead(service, side)?))
+    pick(side).or_else(|| pick(state.rollouts.fallback(service, side)?))
 }
 
-/// Notes what the old version of a service answered while the service is moved to a new one.
-fn note<C: claim::Claims>(
+/// Records an answer of the old version of a service during a roll-out.
+fn record_old<C: claim::Claims>(
     state: &state::State<C>,
-    job: &Job,
+    call: &Call,
     side: rollout::Side,
     result: &Result<http::Response<body::Reply>, refuse::Refusal>,
 ) {
     if side != rollout::Side::Old {
         return;
     }
-    if let Some(result) = state.evidence(&job.kind().name, result) {
-        state.rollouts.note_old(&job.service().name, result);
+    if let Some(observation) = state.observation(&call.kind().name, result) {
+        state.rollouts.record_old(&call.service().name, observation);
     }
 }
 
-/// What the call costs on its way.
-fn toll<C: claim::Claims>(state: &state::State<C>, job: &Job) -> pick::TransferCost {
-    let cheap = u64::from(state.settings.call.cross_bytes);
-    let bytes = job.intake.bytes() + state.sizes.borrow().expect(&job.kind().name);
-    let cross = if cheap == 0 { 0.0 } else { bytes as f32 / cheap as f32 };
+/// The cost of transferring the call's body and answer.
+fn transfer_cost<C: claim::Claims>(state: &state::State<C>, call: &Call) -> pick::TransferCost {
+    let unit = u64::from(state.settings.call.cross_bytes);
+    let bytes = call.body.bytes() + state.sizes.borrow().expected(&call.kind().name);
+    let cross = if unit == 0 { 0.0 } else { bytes as f32 / unit as f32 };
     let link = inbound_link::link_time(&state.settings.proxy, bytes);
-    pick::TransferCost { cross, link, inner: job.inner }
+    pick::TransferCost { cross, link, inner: call.nested }
 }
 
-/// A body that ended early is the reason for whatever followed from it.
-fn truth(outcome: retry::Outcome, fault: Option<retry::Reason>) -> retry::Outcome {
+/// Replaces the reason of an unknown outcome by that of the request's body, if the body ended
+/// early.
+fn with_body_fault(outcome: retry::Outcome, fault: Option<retry::Reason>) -> retry::Outcome {
     match (outcome, fault) {
         (retry::Outcome::Unknown(_), Some(fault)) => retry::Outcome::Unknown(fault),
         _ => outcome,
     }
 }
 
-/// Makes an attempt at the upstream of another node.
+/// Makes an attempt at the upstream beside another node.
 async fn remote<C: claim::Claims>(
     state: &state::State<C>,
-    job: &Job,
+    call: &Call,
     host: host::HostId,
     mut request: http::Request<upload::Upload>,
-    hold: &mut resources::Hold,
+    resources: &mut resources::Resources,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
-    internode::address(&mut request, job.ask.host.as_ref(), &job.order(), state.ctx.now())?;
-    let end = state.timer(job.deadline) + LAST_WORD;
+    internode::wrap(&mut request, call.head.host.as_ref(), &call.spec(), state.ctx.now())?;
+    let end = state.timer(call.deadline) + REPLY_GRACE;
     let answer = internode::call(&state.links, host, request, end).await;
-    if let Some(trip) = hold.trip.as_mut() {
-        trip.load(answer.load);
+    if let Some(attempt) = resources.attempt.as_mut() {
+        attempt.set_load(answer.load);
     }
     let (mut parts, incoming) = answer.result?.into_parts();
     if let Some(ran) = answer.ran {
         parts.extensions.insert(ran);
-        state.compare(&job.kind().name, parts.status, ran, hold);
+        state.record_run_time(&call.kind().name, parts.status, ran, resources);
     }
-    hold.head(parts.status, answer.load);
-    let wire = received_body::Wire::new(incoming, received_body::Carrier::Inner);
-    let reply = body::Reply::read(wire, state.settings.proxy.whole_bytes, end, hold).await?;
+    resources.record_head(parts.status, answer.load);
+    let received = received_body::ReceivedBody::new(incoming, received_body::Carrier::Http2);
+    let reply =
+        body::Reply::read(received, state.settings.proxy.whole_bytes, end, resources).await?;
     Ok(http::Response::from_parts(parts, reply))
 }
--- a/src/proxy/call_spec.rs
+++ b/src/proxy/call_spec.rs
@@ -1,27 +1,27 @@
-//! What a call needs at the upstream's node, and what came of it.
+//! What an owner node needs to know of a call, and the run time that results.
 
 use std::time::Duration;
 
 use crate::clock;
 
-/// How long an upstream took to begin its answer; stands among the answer's extensions.
+/// How long an upstream took to begin its answer; stored in the extensions of the answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Ran(pub Duration);
+pub struct RunTime(pub Duration);
 
-/// What a call needs at the upstream's node.
+/// What an owner node needs to know of a call, besides the request for the upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct Order<'a> {
-    /// Service that the upstream must serve.
+pub struct CallSpec<'a> {
+    /// The service that the upstream must serve.
     pub service: &'a str,
-    /// Class that the upstream must have; `None` allows every one.
+    /// The class that the upstream must have; `None` allows all.
     pub class: Option<&'a str>,
-    /// Name of the call's kind; empty where the entry told none.
+    /// Name of the call's kind; empty if the entry node sent none.
     pub kind: &'a str,
-    /// Weight of the call's kind.
+    /// Weight of the call's kind in the queue for slots.
     pub weight: u32,
-    /// Whether a call that runs already makes this one and waits for its answer.
-    pub inner: bool,
-    /// Until when an answer has its full worth.
+    /// Whether the call is nested: a running call made it and waits for its answer.
+    pub nested: bool,
+    /// When the target latency of the call ends.
     pub target: clock::Instant,
     /// When the caller gives up.
     pub deadline: clock::Instant,
--- a/src/proxy/caller.rs
+++ b/src/proxy/caller.rs
@@ -1,9 +1,9 @@
-//! One caller's connection: its requests run side by side, its answers leave in their order.
+//! The connection of a caller: its pipelined requests run concurrently and are answered in order.
 //!
-//! Each request gets a connection of its own inside the process, on which the library serves it;
-//! the answers are copied to the caller one after the other. Without this a request that was sent
-//! ahead waits for all before it: with three of 220 ms each on a connection, the last one is
-//! answered after 660 ms in place of 220 ms.
+//! Each request gets a lane, an in-memory connection on which hyper serves it. The answers of the
+//! lanes are copied to the caller in the order of the requests. Without lanes, a pipelined request
+//! would wait for all earlier ones: of three requests of 220 ms each on a connection, the last one
+//! would be answered after 660 ms in place of 220 ms.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -28,66 +28,65 @@
 use crate::proxy::state;
 use crate::proxy::wiring;
 
-/// Most requests of one connection that run at once; the next ones are read after the first of
-/// them is answered. Callers that send ahead send a handful.
-const AHEAD: usize = 16;
+/// Maximum number of requests of a connection that run concurrently; the next one is read after the
+/// first of them is answered. Callers that use pipelining send a few requests ahead.
+const MAX_PIPELINED: usize = 16;
 
-/// Bytes in flight between a connection and the library, each way.
+/// Size of the buffer between a connection and a lane, in each direction.
 const PIPE_BYTES: usize = 16_384;
 
-/// Longest that a closing connection is read for what its caller still sends. Closed with bytes
-/// unread, the kernel resets it and the caller may lose the answer.
-const LINGER: time::Duration = time::Duration::from_millis(500);
+/// Maximum time for which a closing connection is still read. If it were closed with unread bytes,
+/// the kernel would reset it and the caller might lose the answer.
+const LINGER_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
-/// Time between a request to close and the close of a connection without a request: one that is
-/// on its way arrives within it.
-const LATE: time::Duration = time::Duration::from_millis(100);
+/// Delay before a connection without a request is closed, so that a request that is already in
+/// flight still arrives.
+const CLOSE_DELAY: time::Duration = time::Duration::from_millis(100);
 
-/// What one connection may send.
+/// Limits on what a connection may send.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Longest without a request, and longest between two parts of a body.
-    pub idle: time::Duration,
-    /// Longest from the first byte of a head to its last.
-    pub arrival: time::Duration,
-    /// Bounds of a head.
+    /// Maximum time without a request, and between two parts of a body.
+    pub idle_timeout: time::Duration,
+    /// Maximum time from the first byte of a head to its last.
+    pub head_timeout: time::Duration,
+    /// Limits on the size of a head.
     pub head: frame::Limits,
 }
 
-/// An answer on its way to the caller.
+/// An answer for the caller.
 enum Output {
-    /// Served by the library.
-    Lane { pipe: ReadHalf<DuplexStream>, mark: Rc<Mark> },
-    /// Written here: the bytes were no request. The connection ends behind it.
-    Canned(Bytes),
+    /// Served by hyper on a lane.
+    Lane { pipe: ReadHalf<DuplexStream>, progress: Rc<Progress> },
+    /// A refusal of bytes that are no valid request. The connection ends after it.
+    Refusal(Bytes),
 }
 
-/// What is known of the request of a lane and of its answer.
+/// Progress of the request of a lane and of its answer.
 #[derive(Debug, Default)]
-struct Mark {
-    /// Number of the lane on its connection.
+struct Progress {
+    /// Number of the lane, counted by connection.
     number: u64,
-    /// Whether the connection ends behind the answer.
-    last: Cell<bool>,
-    /// Whether the answer has a head of the product's own making; without one the library itself
-    /// refused the request.
+    /// Whether the connection ends after the answer.
+    close: Cell<bool>,
+    /// Whether the call path made the answer; otherwise hyper itself refused the request.
     answered: Cell<bool>,
-    /// Whether the library served the whole answer.
-    whole: Cell<bool>,
+    /// Whether hyper served the complete answer.
+    complete: Cell<bool>,
 }
 
 /// Why a connection ends.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum End {
-    /// The caller has left, or takes no more bytes: whatever still runs for it is given up.
-    Left,
-    /// All that is to be answered has been written.
+    /// The caller has closed the connection or takes no more bytes; its calls are cancelled.
+    Disconnected,
+    /// All answers have been written.
     Written,
-    /// An answer broke off; what was written of it must not look whole.
+    /// An answer broke off; the part that was written must not look complete.
     Broken,
 }
 
-/// Serves the connection `stream` until one side ends it.
+/// Serves the connection `stream` until either side ends it.
 pub async fn run<C: claim::Claims>(
     state: Rc<state::State<C>>,
     stream: TcpStream,
@@ -95,8 +94,8 @@
     closing: wiring::Closing,
 ) {
     let (input, output) = stream.into_split();
-    let (answers, queue) = mpsc::channel(AHEAD);
-    let open = watch::Sender::new(0);
+    let (answers, queue) = mpsc::channel(MAX_PIPELINED);
+    let unanswered = watch::Sender::new(0);
     let mut reader = Reader {
         state,
         input,
@@ -104,20 +103,20 @@
         framer: frame::Framer::new(bounds.head),
         bounds,
         answers,
-        open: open.clone(),
-        began: None,
+        unanswered: unanswered.clone(),
+        head_started: None,
         newest: None,
         latest: Rc::default(),
         lanes: task::JoinSet::new(),
     };
-    let mut writer = Writer { output, queue, open };
+    let mut writer = Writer { output, queue, unanswered };
     let end = tokio::select! {
         end = reader.run(closing) => end,
         end = writer.run() => end,
     };
     if end == End::Written && writer.output.shutdown().await.is_ok() {
-        // The caller closes when it has read the answer; what it sends until then is dropped.
-        let _ = tokio::time::timeout(LINGER, reader.discard()).await;
+        // The caller closes once it has read the answer; what it sends until then is discarded.
+        let _ = tokio::time::timeout(LINGER_TIMEOUT, reader.discard()).await;
     }
 }
 
@@ -125,20 +124,20 @@
 struct Reader<C> {
     state: Rc<state::State<C>>,
     input: OwnedReadHalf,
-    /// Bytes that have been read and belong to no lane yet.
+    /// Bytes that have been read and not been passed to a lane yet.
     buffer: BytesMut,
     framer: frame::Framer,
     bounds: Bounds,
     answers: mpsc::Sender<Output>,
-    /// Answers that have not been written whole yet.
-    open: watch::Sender<usize>,
-    /// When the head that is in the buffer began.
-    began: Option<tokio::time::Instant>,
-    /// Mark of the newest lane.
-    newest: Option<Rc<Mark>>,
-    /// Number of the newest lane; the connection may end behind no other.
+    /// Number of answers that have not been written completely yet.
+    unanswered: watch::Sender<usize>,
+    /// When the first byte of an incomplete head arrived.
+    head_started: Option<tokio::time::Instant>,
+    /// Progress of the newest lane.
+    newest: Option<Rc<Progress>>,
+    /// Number of the newest lane; the connection may end after no other.
     latest: Rc<Cell<u64>>,
-    /// The lanes; they end with the connection.
+    /// Tasks of the lanes; they are aborted when the connection ends.
     lanes: task::JoinSet<()>,
 }
 
@@ -148,29 +147,29 @@
         loop {
             match self.advance(&mut lane).await {
                 Ok(true) => {}
-                Ok(false) => return self.rest().await,
+                Ok(false) => return self.wait_disconnect().await,
                 Err(fault) => return self.refuse(fault).await,
             }
             let waits = lane.is_none() && self.buffer.is_empty();
-            let quiet = quiet(self.open.subscribe(), self.began, self.bounds);
-            let late = async {
-                // A closed channel means the same as `true`.
+            let idle = idle_timeout(self.unanswered.subscribe(), self.head_started, self.bounds);
+            let closed = async {
+                // A closed channel counts as `true`.
                 let _ = closing.wait_for(|c| *c).await;
-                tokio::time::sleep(LATE).await;
+                tokio::time::sleep(CLOSE_DELAY).await;
             };
             tokio::select! {
                 read = self.input.read_buf(&mut self.buffer) => match read {
-                    Ok(0) | Err(_) => return End::Left,
+                    Ok(0) | Err(_) => return End::Disconnected,
                     Ok(_) => {}
                 },
-                () = quiet => return End::Written,
-                () = late, if waits => return self.finish().await,
+                () = idle => return End::Written,
+                () = closed, if waits => return self.finish().await,
             }
             while self.lanes.try_join_next().is_some() {}
         }
     }
 
-    /// Takes what the buffer holds. Gives `false` when nothing behind it is to be read.
+    /// Passes the buffer to the lanes. Returns `false` if the connection must not be read further.
     async fn advance(
         &mut self,
         lane: &mut Option<WriteHalf<DuplexStream>>,
@@ -178,26 +177,27 @@
         while !self.buffer.is_empty() {
             let step = self.framer.step(&self.buffer)?;
             if step.bytes == 0 {
-                if self.framer.is_between() {
-                    self.began.get_or_insert_with(tokio::time::Instant::now);
+                if self.framer.is_at_start() {
+                    self.head_started.get_or_insert_with(tokio::time::Instant::now);
                 }
                 return Ok(true);
             }
             if let Some(head) = step.head {
-                self.began = None;
+                self.head_started = None;
                 if self.is_ending() {
                     return Ok(false);
                 }
                 *lane = self.start(head).await;
             }
             if let Some(pipe) = lane {
-                // A lane that has answered before the end of the body takes no more of it.
+                // Fails if the lane has answered before the end of the body; the rest is discarded.
                 let _ = pipe.write_all(&self.buffer[..step.bytes]).await;
             }
             self.buffer.advance(step.bytes);
             if step.end {
                 if let Some(mut pipe) = lane.take() {
-                    // Only a lane whose request is whole ends behind its answer.
+                    // Tells the lane that its request is complete, so that it ends after its
+                    // answer.
                     let _ = pipe.shutdown().await;
                 }
                 if self.is_ending() {
@@ -208,33 +208,34 @@
         Ok(true)
     }
 
-    /// Whether the connection ends behind the newest lane.
+    /// Whether the connection ends after the newest lane.
     fn is_ending(&self) -> bool {
-        self.newest.as_ref().is_some_and(|mark| mark.last.get())
+        self.newest.as_ref().is_some_and(|progress| progress.close.get())
     }
 
-    /// Starts a lane behind all others; waits while too many are open.
+    /// Starts a lane for the next request; waits while too many requests are unanswered.
     async fn start(&mut self, head: frame::Head) -> Option<WriteHalf<DuplexStream>> {
         let (near, far) = tokio::io::duplex(PIPE_BYTES);
         let (pipe, input) = tokio::io::split(near);
         let number = self.latest.get() + 1;
         self.latest.set(number);
-        let mark = Rc::new(Mark { number, last: Cell::new(head.last), ..Mark::default() });
-        self.newest = Some(Rc::clone(&mark));
-        self.open.send_modify(|open| *open += 1);
-        self.answers.send(Output::Lane { pipe, mark: Rc::clone(&mark) }).await.ok()?;
+        let progress =
+            Rc::new(Progress { number, close: Cell::new(head.close), ..Progress::default() });
+        self.newest = Some(Rc::clone(&progress));
+        self.unanswered.send_modify(|unanswered| *unanswered += 1);
+        self.answers.send(Output::Lane { pipe, progress: Rc::clone(&progress) }).await.ok()?;
         let (state, latest) = (Rc::clone(&self.state), Rc::clone(&self.latest));
-        self.lanes.spawn_local(serve(state, far, mark, latest, self.bounds));
+        self.lanes.spawn_local(serve(state, far, progress, latest, self.bounds));
         Some(input)
     }
 
-    /// Reads nothing more, but notices when the caller leaves.
-    async fn rest(&mut self) -> End {
+    /// Waits until the caller closes the connection; discards what it sends.
+    async fn wait_disconnect(&mut self) -> End {
         self.discard().await;
-        End::Left
+        End::Disconnected
     }
 
-    /// Drops what the caller sends until it ends the connection.
+    /// Discards what the caller sends until it closes the connection.
     async fn discard(&mut self) {
         loop {
             self.buffer.clear();
@@ -245,31 +246,31 @@
         }
     }
 
-    /// Ends the connection once every answer is written; without any, at once.
+    /// Ends the connection once all answers have been written.
     async fn finish(&mut self) -> End {
-        let mut open = self.open.subscribe();
+        let mut unanswered = self.unanswered.subscribe();
         tokio::select! {
-            _ = open.wait_for(|open| *open == 0) => End::Written,
-            end = self.rest() => end,
+            _ = unanswered.wait_for(|unanswered| *unanswered == 0) => End::Written,
+            end = self.wait_disconnect() => end,
         }
     }
 
-    /// Answers bytes that are no request and reads nothing more.
+    /// Refuses bytes that are no valid request and reads no further request.
     async fn refuse(&mut self, fault: frame::Fault) -> End {
         let mut refusal = refuse::Refusal::not_run(fault.reason());
         if fault == frame::Fault::TooLarge {
             refusal.status = http::StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
         }
-        log::info!(reason:% = fault; "refused what a caller sent");
-        self.open.send_modify(|open| *open += 1);
+        log::info!(reason:% = fault; "refused an invalid request of a caller");
+        self.unanswered.send_modify(|unanswered| *unanswered += 1);
         // The writer has ended only if the connection has.
-        let _ = self.answers.send(Output::Canned(canned(&refusal))).await;
-        self.rest().await
+        let _ = self.answers.send(Output::Refusal(refusal_response(&refusal))).await;
+        self.wait_disconnect().await
     }
 }
 
-/// An answer without the library, behind which the connection ends.
-fn canned(refusal: &refuse::Refusal) -> Bytes {
+/// A response written without hyper, after which the connection ends.
+fn refusal_response(refusal: &refuse::Refusal) -> Bytes {
     let status = refusal.status;
     let reason = status.canonical_reason().unwrap_or_default();
     let code = status.as_u16();
@@ -280,7 +281,7 @@
 struct Writer {
     output: OwnedWriteHalf,
     queue: mpsc::Receiver<Output>,
-    open: watch::Sender<usize>,
+    unanswered: watch::Sender<usize>,
 }
 
 impl Writer {
@@ -288,25 +289,26 @@
         let mut buffer = BytesMut::with_capacity(PIPE_BYTES);
         while let Some(answer) = self.queue.recv().await {
             let ended = match answer {
-                Output::Lane { pipe, mark } => self.copy(pipe, &mark, &mut buffer).await,
-                Output::Canned(bytes) => {
+                Output::Lane { pipe, progress } => self.copy(pipe, &progress, &mut buffer).await,
+                Output::Refusal(bytes) => {
                     let written = self.output.write_all(&bytes).await;
-                    Some(if written.is_ok() { End::Written } else { End::Left })
+                    Some(if written.is_ok() { End::Written } else { End::Disconnected })
                 }
             };
-            self.open.send_modify(|open| *open = open.saturating_sub(1));
+            self.unanswered.send_modify(|unanswered| *unanswered = unanswered.saturating_sub(1));
             if let Some(end) = ended {
                 return end;
             }
         }
-        End::Left
+        End::Disconnected
     }
 
-    /// Copies one answer; gives why the connection ends behind it, if it does.
+    /// Copies one answer to the caller. Returns why the connection ends after it; `None` if it
+    /// stays open.
     async fn copy(
         &mut self,
         mut pipe: ReadHalf<DuplexStream>,
-        mark: &Mark,
+        progress: &Progress,
         buffer: &mut BytesMut,
     ) -> Option<End> {
         loop {
@@ -317,72 +319,73 @@
                 Err(_) => return Some(End::Broken),
             }
             if self.output.write_all(buffer).await.is_err() {
-                return Some(End::Left);
+                return Some(End::Disconnected);
             }
         }
-        if !mark.whole.get() {
+        if !progress.complete.get() {
             return Some(End::Broken);
         }
-        (mark.last.get() || !mark.answered.get()).then_some(End::Written)
+        (progress.close.get() || !progress.answered.get()).then_some(End::Written)
     }
 }
 
-/// Serves the one request of a lane.
+/// Serves the request of a lane.
 async fn serve<C: claim::Claims>(
     state: Rc<state::State<C>>,
     pipe: DuplexStream,
-    mark: Rc<Mark>,
+    progress: Rc<Progress>,
     latest: Rc<Cell<u64>>,
     bounds: Bounds,
 ) {
     let answers = service::service_fn(|request| {
         let answer = entry::call(Rc::clone(&state), request);
-        let (mark, latest) = (Rc::clone(&mark), Rc::clone(&latest));
+        let (progress, latest) = (Rc::clone(&progress), Rc::clone(&latest));
         async move {
             let answer = answer.await;
-            mark.answered.set(true);
-            Ok::<_, std::convert::Infallible>(closing(answer, &mark, latest.get()))
+            progress.answered.set(true);
+            Ok::<_, std::convert::Infallible>(set_close(answer, &progress, latest.get()))
         }
     });
     let served = http1::Builder::new()
-        // The request is followed by the end of its lane; the caller itself has not left.
+        // The input of a lane ends after its request, though the caller is still connected.
         .half_close(true)
         .max_buf_size(bounds.head.head.max(PIPE_BYTES))
         .max_headers(bounds.head.fields)
         .serve_connection(TokioIo::new(pipe), answers)
         .await;
     match served {
-        Ok(()) => mark.whole.set(true),
+        Ok(()) => progress.complete.set(true),
         Err(error) => log::debug!("an answer to a caller broke off: {error}"),
     }
 }
 
-/// Notes whether the connection ends behind `answer`. It does so behind the newest lane alone: the
-/// answers behind another one would be lost.
-fn closing(
+/// Records whether the connection ends after `answer`. It may do so only after the newest lane, as
+/// later answers would be lost otherwise.
+fn set_close(
     mut answer: http::Response<body::Reply>,
-    mark: &Mark,
+    progress: &Progress,
     latest: u64,
 ) -> http::Response<body::Reply> {
     let close = answer.headers().get(header::CONNECTION).is_some_and(|value| value == "close");
-    if close && mark.number == latest {
-        mark.last.set(true);
+    if close && progress.number == latest {
+        progress.close.set(true);
     } else if close {
         answer.headers_mut().remove(header::CONNECTION);
     }
     answer
 }
 
-/// Ends when the caller has been quiet for too long. A caller that waits for answers is never.
-async fn quiet(
-    mut open: watch::Receiver<usize>,
-    began: Option<tokio::time::Instant>,
+/// Waits until the caller has been idle for too long. A caller that waits for an answer is not
+/// idle.
+async fn idle_timeout(
+    mut unanswered: watch::Receiver<usize>,
+    head_started: Option<tokio::time::Instant>,
     bounds: Bounds,
 ) {
-    if let Some(began) = began {
-        return tokio::time::sleep_until(began + bounds.arrival).await;
+    if let Some(head_started) = head_started {
+        return tokio::time::sleep_until(head_started + bounds.head_timeout).await;
     }
-    // A closed channel means that the connection has ended.
-    let _ = open.wait_for(|open| *open == 0).await;
-    tokio::time::sleep(bounds.idle).await;
+    // If the channel is closed, the connection has ended.
+    let _ = unanswered.wait_for(|unanswered| *unanswered == 0).await;
+    tokio::time::sleep(bounds.idle_timeout).await;
 }
--- a/src/proxy/caller_retries.rs
+++ b/src/proxy/caller_retries.rs
@@ -1,8 +1,8 @@
-//! Callers that come back after a failed try.
+//! Recognises callers that retry a failed call.
 //!
-//! To its caller an answer has its full worth within a time that began with the first try, however often
-//! the caller has come since. A caller comes back to the node on its own host, asks for the same path
-//! and still waits until the same moment: by these two a node knows it again.
+//! The target latency of a call counts from the caller's first try, however often the caller has
+//! retried. A caller retries at the node of its own host, with the same path and the same deadline:
+//! by these two the node recognises it.
 
 use std::collections;
 use std::collections::hash_map;
@@ -15,63 +15,68 @@
 #[cfg(test)]
 mod tests;
 
-/// Failed tries that are remembered: those of some seconds on a node that refuses a hundred calls a
-/// second. Each takes up some 50 bytes.
-const MOST: usize = 512;
+/// Maximum number of failed tries in memory: enough for about five seconds on a node that refuses
+/// 100 calls a second. Each takes about 50 bytes.
+const MAX_REMEMBERED: usize = 512;
 
-/// How far apart the moments may be until which one caller waits by two of its tries. What a caller
-/// says is in whole milliseconds, and on its way to the node it may be held up by tens of them.
-const SLACK: time::Duration = time::Duration::from_millis(50);
+/// Maximum difference between the deadlines of two tries of one caller. A caller sends the time
+/// remaining in whole milliseconds, and the request may reach the node tens of milliseconds later.
+const DEADLINE_TOLERANCE: time::Duration = time::Duration::from_millis(50);
 
-/// What a call asks for, as far as two tries of one caller have it in common.
+/// Hash of the parts of a request that two tries of one caller have in common.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Key(u64);
 
-/// A try that failed.
+/// A failed try.
 #[derive(Clone, Copy, Debug)]
-struct Seen {
-    /// When its caller came for the first time.
-    since: clock::Instant,
-    /// Until when its caller waits.
-    until: clock::Instant,
+struct FailedTry {
+    /// When the caller made its first try.
+    first: clock::Instant,
+    /// Until when the caller waits.
+    deadline: clock::Instant,
 }
 
-/// The tries that failed a short while ago.
+/// The latest failed tries.
 ///
-/// Invariant: `order` has each key of `seen` once, the one noted first in front.
+/// Invariant: `order` has each key of `failed` once, oldest first.
 #[derive(Debug, Default)]
-pub struct Returns {
-    seen: collections::HashMap<Key, Seen>,
+pub struct CallerRetries {
+    failed: collections::HashMap<Key, FailedTry>,
     order: collections::VecDeque<Key>,
     hasher: hash_map::RandomState,
 }
 
-impl Returns {
-    /// The key of what `asked` describes.
-    pub fn key(&self, asked: impl Hash) -> Key {
-        Key(self.hasher.hash_one(asked))
+impl CallerRetries {
+    /// The key of `request`, the parts that two tries have in common.
+    pub fn key(&self, request: impl Hash) -> Key {
+        Key(self.hasher.hash_one(request))
     }
 
-    /// When the caller that asks for `key`, comes at `now` and waits until `until` came for the first
-    /// time.
-    pub fn since(&self, key: Key, until: clock::Instant, now: clock::Instant) -> clock::Instant {
-        let same = |seen: &&Seen| {
-            let apart = seen.until.since(until).max(until.since(seen.until));
-            apart <= SLACK
+    /// When the caller of `key`, which waits until `deadline`, made its first try; `now` if no
+    /// failed try matches.
+    pub fn first_try(
+        &self,
+        key: Key,
+        deadline: clock::Instant,
+        now: clock::Instant,
+    ) -> clock::Instant {
+        let same = |failed: &&FailedTry| {
+            let apart = failed.deadline.since(deadline).max(deadline.since(failed.deadline));
+            apart <= DEADLINE_TOLERANCE
         };
-        self.seen.get(&key).filter(same).map_or(now, |seen| seen.since)
+        self.failed.get(&key).filter(same).map_or(now, |failed| failed.first)
     }
 
-    /// Notes that a try for `key` has failed; its caller came first at `since` and waits until
-    /// `until`.
-    pub fn note(&mut self, key: Key, since: clock::Instant, until: clock::Instant) {
-        if self.seen.insert(key, Seen { since, until }).is_none() {
+    /// Records a failed try for `key` of a caller that made its first try at `first` and waits
+    /// until `deadline`.
+    pub fn record(&mut self, key: Key, first: clock::Instant, deadline: clock::Instant) {
+        if self.failed.insert(key, FailedTry { first, deadline }).is_none() {
             self.order.push_back(key);
         }
-        if self.order.len() > MOST
+        if self.order.len() > MAX_REMEMBERED
             && let Some(oldest) = self.order.pop_front()
         {
-            self.seen.remove(&oldest);
+            self.failed.remove(&oldest);
         }
     }
 }
--- a/src/proxy/caller_retries/tests.rs
+++ b/src/proxy/caller_retries/tests.rs
@@ -7,12 +7,12 @@
     clock::Instant::from_millis(millis)
 }
 
-/// What is remembered after a try at 100 ms failed whose caller waits until 2500 ms.
-fn returns() -> caller_retries::Returns {
-    let mut returns = caller_retries::Returns::default();
-    let key = returns.key(("GET", "/a/1"));
-    returns.note(key, at(100), at(2500));
-    returns
+/// One failed try, made at 100 ms by a caller that waits until 2500 ms.
+fn retries() -> caller_retries::CallerRetries {
+    let mut retries = caller_retries::CallerRetries::default();
+    let key = retries.key(("GET", "/a/1"));
+    retries.record(key, at(100), at(2500));
+    retries
 }
 
 #[rstest]
@@ -21,30 +21,30 @@
 #[case::held_up("/a/1", 2540, 100)]
 #[case::another_caller("/a/1", 2600, 400)]
 #[case::another_path("/a/2", 2500, 400)]
-fn a_caller_that_comes_back_is_known(#[case] path: &str, #[case] until: u64, #[case] since: u64) {
-    let returns = returns();
-    let key = returns.key(("GET", path));
-    assert_eq!(returns.since(key, at(until), at(400)), at(since));
+fn a_caller_that_retries_is_recognised(#[case] path: &str, #[case] until: u64, #[case] since: u64) {
+    let retries = retries();
+    let key = retries.key(("GET", path));
+    assert_eq!(retries.first_try(key, at(until), at(400)), at(since));
 }
 
 #[test]
-fn a_second_return_still_counts_from_the_first_try() {
-    let mut returns = returns();
-    let key = returns.key(("GET", "/a/1"));
-    let since = returns.since(key, at(2500), at(400));
-    returns.note(key, since, at(2500));
-    assert_eq!(returns.since(key, at(2500), at(900)), at(100));
+fn a_second_retry_still_counts_from_the_first_try() {
+    let mut retries = retries();
+    let key = retries.key(("GET", "/a/1"));
+    let since = retries.first_try(key, at(2500), at(400));
+    retries.record(key, since, at(2500));
+    assert_eq!(retries.first_try(key, at(2500), at(900)), at(100));
 }
 
 #[test]
-fn what_is_remembered_is_bounded() {
-    let mut returns = returns();
-    let first = returns.key(("GET", "/a/1"));
-    for number in 0..caller_retries::MOST {
-        let key = returns.key(number);
-        returns.note(key, at(200), at(2600));
+fn the_number_of_remembered_tries_is_bounded() {
+    let mut retries = retries();
+    let first = retries.key(("GET", "/a/1"));
+    for number in 0..caller_retries::MAX_REMEMBERED {
+        let key = retries.key(number);
+        retries.record(key, at(200), at(2600));
     }
-    assert_eq!(returns.since(first, at(2500), at(400)), at(400));
-    assert_eq!(returns.order.len(), caller_retries::MOST);
-    assert_eq!(returns.seen.len(), caller_retries::MOST);
+    assert_eq!(retries.first_try(first, at(2500), at(400)), at(400));
+    assert_eq!(retries.order.len(), caller_retries::MAX_REMEMBERED);
+    assert_eq!(retries.failed.len(), caller_retries::MAX_REMEMBERED);
 }
--- a/src/proxy/count.rs
+++ b/src/proxy/count.rs
@@ -1,4 +1,4 @@
-//! Counting calls for usage and objectives.
+//! Counts calls for usage and objectives.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,7 +10,8 @@
 use crate::retry;
 use crate::usage;
 
-/// A call that is to be counted once, when it has ended. Dropped before, its caller has left.
+/// A call that is counted once, when it ends. If this is dropped before, the call counts as left by
+/// its caller.
 #[derive(Debug)]
 pub struct Pending {
     ctx: context::Context,
@@ -24,7 +25,7 @@
 }
 
 impl Pending {
-    /// A call of `kind`, a key of `mesh`, that came in at `started`.
+    /// A call of `kind`, a key of `mesh`, that arrived at `started`.
     pub const fn new(
         ctx: context::Context,
         tally: Rc<RefCell<usage::Tally>>,
@@ -35,18 +36,18 @@
         Self { ctx, tally, mesh, kind, started, failed: false, counted: false }
     }
 
-    /// Notes the status of the upstream's answer.
-    pub fn status(&mut self, status: http::StatusCode) {
+    /// Records the status of the upstream's answer.
+    pub fn set_status(&mut self, status: http::StatusCode) {
         self.failed = status.is_server_error();
     }
 
-    /// The answer went out whole.
+    /// Counts a call whose answer was read to its end.
     pub fn served(mut self) {
         let outcome = if self.failed { usage::Outcome::Failed } else { usage::Outcome::Served };
         self.record(outcome);
     }
 
-    /// The call ended with `outcome`, without a whole answer of its upstream.
+    /// Counts a call that ended with `outcome`, without a complete answer of its upstream.
     pub fn ended(mut self, outcome: retry::Outcome) {
         self.record(match outcome {
             retry::Outcome::Ran => usage::Outcome::Served,
--- a/src/proxy/crash_detector.rs
+++ b/src/proxy/crash_detector.rs
@@ -1,7 +1,7 @@
-//! Finds out that the upstream beside this node has ended while it ran calls.
+//! Detects that the local upstream crashed while it ran calls.
 //!
-//! An upstream that ends breaks all its calls off at once and takes no connection any more; one that
-//! breaks off a single answer, or closes a connection, still takes one.
+//! An upstream that crashes breaks off all its calls at once and then refuses connections. An
+//! upstream that breaks off a single answer, or closes a connection, still accepts connections.
 
 use std::cell::RefCell;
 use std::io;
@@ -16,72 +16,72 @@
 #[cfg(test)]
 mod tests;
 
-/// Time from the first call that is broken off to the look whether the upstream is still there: answers
-/// that it gave before are read until then.
-const SETTLE: time::Duration = time::Duration::from_millis(10);
+/// Delay before each check. Answers that the upstream gave before the crash are read meanwhile.
+const CHECK_DELAY: time::Duration = time::Duration::from_millis(10);
 
-/// Looks at the calls that ran beside it: on a slow host it takes a while until all are found broken off.
-const LOOKS: u8 = 5;
+/// Maximum number of checks whether the other calls have been broken off, too. On a slow host, it
+/// takes some time until all of them are noticed.
+const MAX_CHECKS: u8 = 5;
 
-/// A call that ran: its number among the runs of this node, and its fingerprint.
-type Ran = (u64, quarantine::Fingerprint);
+/// A call that ran during a possible crash: its key in the running calls, and its fingerprint.
+type Suspect = (u64, quarantine::Fingerprint);
 
-/// What ran when the upstream last broke a call off.
+/// Detects crashes of the local upstream.
 #[derive(Debug, Default)]
-pub struct Ends {
-    /// `None` while there is nothing to look at.
-    ran: RefCell<Option<Vec<Ran>>>,
+pub struct CrashDetector {
+    /// The calls that ran when a call was first broken off; `None` while there is nothing to check.
+    suspects: RefCell<Option<Vec<Suspect>>>,
     woken: sync::Notify,
 }
 
-impl Ends {
-    /// The upstream broke a call off while `ran` ran, that call among them.
-    pub fn cut(&self, ran: impl Iterator<Item = Ran>) {
-        let mut first = self.ran.borrow_mut();
+impl CrashDetector {
+    /// Records that the upstream broke a call off while `suspects` ran, that call included.
+    pub fn call_broken(&self, suspects: impl Iterator<Item = Suspect>) {
+        let mut first = self.suspects.borrow_mut();
         if first.is_none() {
-            *first = Some(ran.collect());
+            *first = Some(suspects.collect());
             self.woken.notify_one();
         }
     }
 
-    /// The call numbered `key` has its whole answer after all.
-    pub fn whole(&self, key: u64) {
-        if let Some(ran) = self.ran.borrow_mut().as_mut() {
-            ran.retain(|(other, _)| *other != key);
+    /// Records that the call `key` got its complete answer after all.
+    pub fn call_completed(&self, key: u64) {
+        if let Some(suspects) = self.suspects.borrow_mut().as_mut() {
+            suspects.retain(|(other, _)| *other != key);
         }
     }
 
-    /// Waits until an upstream has ended under calls; gives their fingerprints. `runs` says whether a
-    /// call still runs, `address` where the upstream is expected to take connections, `limit` how long one
-    /// may take to open.
-    pub async fn next(
+    /// Waits until the upstream has crashed while calls ran and returns their fingerprints.
+    /// `is_running` tells whether a call still runs. `address` is where the upstream should accept
+    /// connections, and `limit` bounds the time to open one.
+    pub async fn next_crash(
         &self,
-        runs: impl Fn(u64) -> bool,
+        is_running: impl Fn(u64) -> bool,
         address: impl Fn() -> Option<net::SocketAddr>,
         limit: time::Duration,
     ) -> Vec<quarantine::Fingerprint> {
         loop {
             self.woken.notified().await;
-            let gone = self.broke_all(&runs).await
+            let crashed = self.all_broken(&is_running).await
                 && match address() {
                     Some(address) => refuses(address, limit).await,
-                    // It has left in order.
+                    // It has left as planned.
                     None => false,
                 };
-            let ran = self.ran.take().unwrap_or_default();
-            if gone {
-                return ran.into_iter().map(|(_, print)| print).collect();
+            let suspects = self.suspects.take().unwrap_or_default();
+            if crashed {
+                return suspects.into_iter().map(|(_, fingerprint)| fingerprint).collect();
             }
         }
     }
 
-    /// Whether none of the calls that ran beside the first one broken off runs on. Looking whether the
-    /// upstream is there costs it a connection, and a single broken answer is no reason for that.
-    async fn broke_all(&self, runs: impl Fn(u64) -> bool) -> bool {
-        for _ in 0..LOOKS {
-            tokio::time::sleep(SETTLE).await;
-            let ran = self.ran.borrow();
-            if !ran.iter().flatten().any(|(key, _)| runs(*key)) {
+    /// Whether all calls that ran with the first broken one have ended, too. This avoids a
+    /// connection attempt to the upstream for a single broken answer.
+    async fn all_broken(&self, is_running: impl Fn(u64) -> bool) -> bool {
+        for _ in 0..MAX_CHECKS {
+            tokio::time::sleep(CHECK_DELAY).await;
+            let suspects = self.suspects.borrow();
+            if !suspects.iter().flatten().any(|(key, _)| is_running(*key)) {
                 return true;
             }
         }
@@ -89,7 +89,8 @@
     }
 }
 
-/// Whether nobody listens at `address`. A listener that is slow or full is there.
+/// Whether a connection to `address` is refused. A listener that is slow or full does not count as
+/// crashed.
 async fn refuses(address: net::SocketAddr, limit: time::Duration) -> bool {
     match tokio::time::timeout(limit, TcpStream::connect(address)).await {
         Ok(Err(error)) => error.kind() == io::ErrorKind::ConnectionRefused,
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -1,5 +1,5 @@
-//! The caller's side: accept a request, match its route, check its deadline, claim it, run it,
-//! answer and count it.
+//! The entry node: accepts a caller's request, matches its route, checks its deadline, claims its
+//! idempotency key, runs it, answers and counts it.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -29,11 +29,11 @@
 use crate::retry;
 use crate::version;
 
-/// Most calls of the mesh that may lead to one another.
-const MOST_DEPTH: u8 = 16;
+/// Maximum depth of nested calls in the mesh.
+const MAX_DEPTH: u8 = 16;
 
-/// What a call is told that is still under way when the node ends.
-const LEFT: refuse::Refusal = refuse::Refusal::unknown(retry::Reason::Timeout);
+/// The refusal of a call that is still in flight when the node ends.
+const STOPPED: refuse::Refusal = refuse::Refusal::unknown(retry::Reason::Timeout);
 
 /// Answers a caller's request.
 pub async fn call<C: claim::Claims>(
@@ -42,41 +42,43 @@
 ) -> http::Response<body::Reply> {
     let (parts, incoming) = request.into_parts();
     let (began, version) = (state.ctx.now(), state.applied.borrow().version_id.version);
-    let ask =
-        request_head::Ask::read(parts, state.settings.proxy.path_bytes, &state.dialect, || {
-            state.id()
-        });
-    let (id, result) = match ask {
-        Ok(mut ask) => {
-            state.sign(&mut ask.headers);
-            let id = ask.id.clone();
+    let head = request_head::RequestHead::read(
+        parts,
+        state.settings.proxy.path_bytes,
+        &state.dialect,
+        || state.new_id(),
+    );
+    let (id, result) = match head {
+        Ok(mut head) => {
+            state.add_caller_header(&mut head.headers);
+            let id = head.id.clone();
             let result = tokio::select! {
-                result = serve(&state, ask, incoming) => result,
-                () = state.last_moment() => Err(LEFT),
+                result = serve(&state, head, incoming) => result,
+                () = state.wait_answer_deadline() => Err(STOPPED),
             };
             (Some(id), result)
         }
         Err(refusal) => (None, Err(refusal)),
     };
     if let Some(id) = &id {
-        tell(&state, id, &result, version, began);
+        log_end(&state, id, &result, version, began);
     }
     let mut answer = result.map_or_else(
         |refusal| reply::answer(&refusal, state.dialect.verbose),
-        |answer| ran(&state, answer),
+        |answer| mark_ran(&state, answer),
     );
     if let Some(id) = id {
         answer.headers_mut().insert(&state.dialect.id, id);
     }
-    if state.leaving() {
+    if state.is_leaving() {
         let close = header::HeaderValue::from_static("close");
         answer.headers_mut().insert(header::CONNECTION, close);
     }
     answer
 }
 
-/// Logs how a call ended that came at `began`, while `version` was in force.
-fn tell<C: claim::Claims>(
+/// Logs the end of a call that arrived at `began`, while `version` was in force.
+fn log_end<C: claim::Claims>(
     state: &state::State<C>,
     id: &header::HeaderValue,
     result: &Result<http::Response<body::Reply>, refuse::Refusal>,
@@ -94,7 +96,7 @@
     }
 }
 
-fn ran<C>(
+fn mark_ran<C>(
     state: &state::State<C>,
     mut answer: http::Response<body::Reply>,
 ) -> http::Response<body::Reply> {
@@ -108,18 +110,18 @@
 
 async fn serve<C: claim::Claims>(
     state: &Rc<state::State<C>>,
-    ask: request_head::Ask,
+    head: request_head::RequestHead,
     incoming: Incoming,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
-    let flight = Some(state.flights.enter());
+    let in_flight = Some(state.in_flight.enter());
     let started = state.ctx.now();
-    if state.draining() {
-        return Err(refuse::Refusal::not_run(retry::Reason::Draining).again(state.pause()));
+    if state.is_draining() {
+        return Err(refuse::Refusal::not_run(retry::Reason::Draining).retry_in(state.retry_delay()));
     }
     let applied = state.applied();
-    let route = find(state, &applied, &ask)?;
+    let route = find_route(state, &applied, &head)?;
     let kind = applied.mesh.route(route).kind;
-    let service = state.splitter.borrow_mut().next(applied.mesh.route(route));
+    let service = state.traffic_split.borrow_mut().next(applied.mesh.route(route));
     let count = count::Pending::new(
         state.ctx,
         Rc::clone(&state.tally),
@@ -127,101 +129,113 @@
         kind,
         started,
     );
-    let mut hold = resources::Hold { flight, count: Some(count), ..resources::Hold::default() };
-    let deadline = state.deadline(started + longest(&applied.mesh, kind, ask.left));
-    // A caller that comes back has used up part of its target: without this, callers that can only be late
-    // take the place of those in time, 1337 answers of 4000 in time where 2551 are (virtual time, the test
+    let mut resources =
+        resources::Resources { in_flight, count: Some(count), ..resources::Resources::default() };
+    let deadline = state.deadline(started + max_duration(&applied.mesh, kind, head.remaining));
+    // A caller that retries has used up part of its target latency. Without this, retries that can
+    // only be late displace calls that could be in time: 1337 answers of 4000 are in time in place
+    // of 2551 (virtual time, the test
     // `callers_that_come_back_do_not_take_the_place_of_those_in_time`).
-    let visit = visit(state, &ask, started);
-    let since = visit.map_or(started, |visit| visit.since);
-    let target = applied.mesh.kind(kind).latency.map_or(deadline, |latency| since + latency);
+    let caller_try = caller_try(state, &head, started);
+    let first_try = caller_try.map_or(started, |caller_try| caller_try.first);
+    let target = applied.mesh.kind(kind).latency.map_or(deadline, |latency| first_try + latency);
     let limit = applied.mesh.body(kind);
-    let intake = match intake(state, incoming, limit, deadline).await {
-        Ok(intake) => intake,
+    let body = match read_body(state, incoming, limit, deadline).await {
+        Ok(body) => body,
         Err(refusal) => {
-            if let Some(count) = hold.count.take() {
+            if let Some(count) = resources.count.take() {
                 count.ended(refusal.outcome);
             }
             return Err(refusal);
         }
     };
-    let inner = state.runs.makes(&ask.id);
-    let job = call::Job { ask, intake, applied, route, service, inner, target, deadline };
-    let key = job.ask.key.clone().filter(|_| !job.kind().idempotent);
+    let nested = state.running.has_parent_of(&head.id);
+    let call = call::Call { head, body, applied, route, service, nested, target, deadline };
+    let key = call.head.idempotency_key.clone().filter(|_| !call.kind().idempotent);
     let Some(key) = key else {
-        let result = call::run(state, &job, hold).await;
-        if let Some(visit) = visit.filter(|_| result.is_err() && !inner) {
-            state.returns.borrow_mut().note(visit.key, visit.since, visit.until);
+        let result = call::run(state, &call, resources).await;
+        if let Some(caller_try) = caller_try.filter(|_| result.is_err() && !nested) {
+            state.caller_retries.borrow_mut().record(
+                caller_try.key,
+                caller_try.first,
+                caller_try.until,
+            );
         }
         return result;
     };
-    // A keyed call goes on when its caller leaves: the caller may come back for its answer.
-    let call = task::spawn_local(idempotency::run(Rc::clone(state), job, hold, key));
-    call.await.unwrap_or(Err(refuse::Refusal::unknown(retry::Reason::Cancelled)))
+    // A call with a key goes on when its caller leaves, as the caller may retry and get its answer.
+    let run = task::spawn_local(idempotency::run(Rc::clone(state), call, resources, key));
+    run.await.unwrap_or(Err(refuse::Refusal::unknown(retry::Reason::Cancelled)))
 }
 
-/// A try of a caller that says how long it waits.
+/// A call of a caller that sent the time for which it waits.
 #[derive(Clone, Copy, Debug)]
-struct Visit {
+struct CallerTry {
     key: caller_retries::Key,
-    /// When the caller came for the first time.
-    since: clock::Instant,
-    /// Until when it waits.
+    /// When the caller made its first try.
+    first: clock::Instant,
+    /// Until when the caller waits.
     until: clock::Instant,
 }
 
-/// The visit that `ask` belongs to, which came at `now`. `None` where its caller does not say how long
-/// it waits.
-fn visit<C: claim::Claims>(
+/// Looks up whether the request `head`, which arrived at `now`, is a retry. `None` if its caller
+/// did not send the time for which it waits.
+fn caller_try<C: claim::Claims>(
     state: &state::State<C>,
-    ask: &request_head::Ask,
+    head: &request_head::RequestHead,
     now: clock::Instant,
-) -> Option<Visit> {
-    let until = now + ask.left?;
-    let returns = state.returns.borrow();
-    let key = returns.key((&ask.method, &ask.host, &ask.path));
-    Some(Visit { key, since: returns.since(key, until, now), until })
+) -> Option<CallerTry> {
+    let until = now + head.remaining?;
+    let retries = state.caller_retries.borrow();
+    let key = retries.key((&head.method, &head.host, &head.path));
+    Some(CallerTry { key, first: retries.first_try(key, until, now), until })
 }
 
-fn find<C: claim::Claims>(
+fn find_route<C: claim::Claims>(
     state: &state::State<C>,
     applied: &mesh::Applied,
-    ask: &request_head::Ask,
+    head: &request_head::RequestHead,
 ) -> Result<mesh::RouteKey, refuse::Refusal> {
     if applied.version_id.version == version::Version::NONE {
-        return Err(refuse::Refusal::not_run(retry::Reason::NotReady).again(state.pause()));
+        return Err(refuse::Refusal::not_run(retry::Reason::NotReady).retry_in(state.retry_delay()));
     }
-    if ask.depth >= MOST_DEPTH {
+    if head.depth >= MAX_DEPTH {
         return Err(refuse::Refusal::not_run(retry::Reason::TooDeep));
     }
-    let host = ask.host.as_ref().map(http::uri::Authority::as_str);
-    let route = applied.mesh.find(host, &ask.method, ask.path.path());
+    let host = head.host.as_ref().map(http::uri::Authority::as_str);
+    let route = applied.mesh.find(host, &head.method, head.path.path());
     route.ok_or(refuse::Refusal::not_run(retry::Reason::NoRoute))
 }
 
-/// Longest a call of `kind` may take when its caller waits for `left`.
-fn longest(mesh: &mesh::Mesh, kind: mesh::KindKey, left: Option<time::Duration>) -> time::Duration {
+/// Maximum duration of a call of `kind` whose caller waits for `remaining`, if it sent that time.
+fn max_duration(
+    mesh: &mesh::Mesh,
+    kind: mesh::KindKey,
+    remaining: Option<time::Duration>,
+) -> time::Duration {
     let timeout = mesh.timeout(kind);
     let bound = mesh.kind(kind).timeout.unwrap_or(time::Duration::MAX);
-    left.map_or(timeout, |left| left.min(bound))
+    remaining.map_or(timeout, |remaining| remaining.min(bound))
 }
 
-/// Reads a small body whole, until the deadline at most.
-async fn intake<C: claim::Claims>(
+/// Reads a request's body, until the deadline at most: a short one is buffered.
+async fn read_body<C: claim::Claims>(
     state: &state::State<C>,
     incoming: Incoming,
     limit: u64,
     deadline: clock::Instant,
-) -> Result<upload::Intake, refuse::Refusal> {
+) -> Result<upload::Body, refuse::Refusal> {
     if deadline.since(state.ctx.now()) == time::Duration::ZERO {
-        return Err(refuse::Refusal::not_run(retry::Reason::TooLate).again(state.pause()));
+        return Err(refuse::Refusal::not_run(retry::Reason::TooLate).retry_in(state.retry_delay()));
     }
-    let wire = received_body::Wire::new(incoming, received_body::Carrier::Plain);
+    let received = received_body::ReceivedBody::new(incoming, received_body::Carrier::Http1);
     let bounds = state.bounds(limit);
-    let mut pace = upload::AtOnce;
-    let read = upload::Intake::read(wire, &bounds, &mut pace);
+    let mut reader = upload::Immediate;
+    let read = upload::Body::read(received, &bounds, &mut reader);
     match tokio::time::timeout_at(state.timer(deadline), read).await {
-        Ok(intake) => intake.map_err(refuse::Refusal::not_run),
-        Err(_) => Err(refuse::Refusal::not_run(retry::Reason::TooLate).again(state.pause())),
+        Ok(body) => body.map_err(refuse::Refusal::not_run),
+        Err(_) => {
+            Err(refuse::Refusal::not_run(retry::Reason::TooLate).retry_in(state.retry_delay()))
+        }
     }
 }
--- a/src/proxy/error.rs
+++ b/src/proxy/error.rs
@@ -3,38 +3,38 @@
 use std::io;
 use std::net;
 
-/// Why the call path ended badly.
+/// Errors that end the call path.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A listener can't be opened.
     #[error("can't listen on {address}")]
     Listen {
-        /// Where.
+        /// The address to listen on.
         address: net::SocketAddr,
-        /// The operating system's answer.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// Why a body ended before it was whole.
+/// Why a body ended before it was complete.
 #[derive(Debug, thiserror::Error)]
 pub enum Broken {
-    /// The connection it came on failed.
-    #[error("the body was cut short")]
+    /// The connection failed.
+    #[error("the connection failed before the end of the body")]
     Cut(#[source] hyper::Error),
-    /// The peer reset its stream.
-    #[error("the body was reset")]
+    /// The peer reset the stream.
+    #[error("the peer reset the stream before the end of the body")]
     Reset,
     /// The deadline passed.
-    #[error("the deadline passed before the body was whole")]
-    Late,
-    /// It is larger than allowed.
+    #[error("the deadline passed before the end of the body")]
+    Timeout,
+    /// The body is larger than allowed.
     #[error("the body is larger than {limit} bytes")]
     TooLarge {
-        /// Most bytes allowed.
+        /// Maximum size, in bytes.
         limit: u64,
     },
-    /// The call was given up.
-    #[error("the call was given up")]
-    Left,
+    /// The call was cancelled.
+    #[error("the call was cancelled")]
+    Cancelled,
 }
--- a/src/proxy/frame.rs
+++ b/src/proxy/frame.rs
@@ -1,34 +1,34 @@
-//! Where one request of a connection ends and the next begins.
+//! Finds where a request on a connection ends and the next one begins.
 //!
-//! The library that serves a connection takes the next request only after the answer before it. To
-//! run requests that were sent ahead side by side, a connection is cut into its requests first. The
-//! rules are stricter than the library's: a request whose length two readers might take differently
-//! is refused, as the rest of it could pass for a request of its own.
+//! hyper reads the next request of a connection only after it has answered the previous one. To run
+//! pipelined requests concurrently, the bytes of a connection are split into requests first. The
+//! rules are stricter than those of hyper, to prevent request smuggling: a request whose length two
+//! parsers might understand differently is refused.
 
 use crate::retry;
 
 #[cfg(test)]
 mod tests;
 
-/// Most bytes of one line of chunked coding: a size in hexadecimal digits and its extensions.
-const LINE_BYTES: usize = 1024;
+/// Maximum length of a line of the chunked coding: a size in hexadecimal digits and its extensions.
+const MAX_LINE_BYTES: usize = 1024;
 
-/// Largest chunk, in bytes; larger ones are no request of a sound caller.
-const CHUNK_BYTES: u64 = 1 << 40;
+/// Maximum size of a chunk. No valid request has a larger one.
+const MAX_CHUNK_BYTES: u64 = 1 << 40;
 
-/// What a connection's bytes may be.
+/// Limits on the head of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a head, in bytes.
     pub head: usize,
-    /// Most fields of a head.
+    /// Maximum number of header fields.
     pub fields: usize,
 }
 
-/// Bytes that are not a request.
+/// Why bytes are not a valid request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Fault {
-    /// Not HTTP/1, or a length that can be read in two ways.
+    /// Not HTTP/1, or a request of ambiguous length.
     #[error("the request is malformed")]
     Malformed,
     /// The head is too large.
@@ -37,7 +37,7 @@
 }
 
 impl Fault {
-    /// The reason that a caller is told.
+    /// The reason sent to the caller.
     pub const fn reason(self) -> retry::Reason {
         match self {
             Fault::Malformed => retry::Reason::Malformed,
@@ -46,41 +46,41 @@
     }
 }
 
-/// The head of a request that has just begun.
+/// The head of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Head {
-    /// Whether the caller wants the connection closed behind the answer.
-    pub last: bool,
+    /// Whether the caller wants the connection closed after the answer.
+    pub close: bool,
 }
 
-/// How far some bytes bring a request.
+/// The part of a request found in some bytes.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Step {
-    /// Bytes that belong to it; none while more have to come before anything can be said.
+    /// Number of bytes in this part; 0 while more bytes are needed.
     pub bytes: usize,
-    /// Its head, if these bytes begin with it.
+    /// The head, if the part is a head.
     pub head: Option<Head>,
-    /// Whether it ends with these bytes.
+    /// Whether the request ends with this part.
     pub end: bool,
 }
 
-/// What has to come next.
+/// What is expected next.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 enum State {
     /// The head of a request.
     #[default]
     Head,
-    /// The rest of a body of known length.
+    /// The remaining bytes of a body of known length.
     Sized(u64),
-    /// The line before a chunk.
-    Line,
-    /// The rest of a chunk and of the line end behind it.
+    /// The line with the size of the next chunk.
+    ChunkSize,
+    /// The remaining bytes of a chunk and of the line end after it.
     Chunk(u64),
-    /// The lines behind the last chunk.
+    /// The lines after the last chunk.
     Trailer,
 }
 
-/// Cuts the bytes of a connection into requests.
+/// Splits the bytes of a connection into requests.
 #[derive(Clone, Debug)]
 pub struct Framer {
     limits: Limits,
@@ -88,27 +88,27 @@
 }
 
 impl Framer {
-    /// A framer at the beginning of a connection.
+    /// A framer for a new connection.
     pub const fn new(limits: Limits) -> Self {
         Self { limits, state: State::Head }
     }
 
-    /// Whether the next byte begins a request.
-    pub fn is_between(&self) -> bool {
+    /// Whether the next byte starts a request.
+    pub fn is_at_start(&self) -> bool {
         self.state == State::Head
     }
 
-    /// Looks at the bytes that come next.
+    /// Finds the next part of a request in `bytes`, which follow the parts returned before.
     ///
     /// # Errors
     ///
-    /// Bytes that no request begins with or goes on with. The framer is of no use afterwards.
+    /// The bytes are no valid request. The framer must not be used afterwards.
     pub fn step(&mut self, bytes: &[u8]) -> Result<Step, Fault> {
         match self.state {
             State::Head => self.head(bytes),
-            State::Sized(left) => Ok(self.sized(left, bytes)),
-            State::Line => self.line(bytes),
-            State::Chunk(left) => Ok(self.chunk(left, bytes)),
+            State::Sized(remaining) => Ok(self.sized_body(remaining, bytes)),
+            State::ChunkSize => self.chunk_size(bytes),
+            State::Chunk(remaining) => Ok(self.chunk(remaining, bytes)),
             State::Trailer => self.trailer(bytes),
         }
     }
@@ -127,25 +127,25 @@
         if request.method == Some("CONNECT") {
             return Err(Fault::Malformed);
         }
-        let body = body(request.headers)?;
-        let head = Head { last: is_last(request.version, request.headers) };
-        self.state = match body {
-            Body::Sized(0) => State::Head,
-            Body::Sized(left) => State::Sized(left),
-            Body::Chunked if request.version == Some(0) => return Err(Fault::Malformed),
-            Body::Chunked => State::Line,
+        let framing = framing(request.headers)?;
+        let head = Head { close: wants_close(request.version, request.headers) };
+        self.state = match framing {
+            Framing::Sized(0) => State::Head,
+            Framing::Sized(remaining) => State::Sized(remaining),
+            Framing::Chunked if request.version == Some(0) => return Err(Fault::Malformed),
+            Framing::Chunked => State::ChunkSize,
         };
-        Ok(Step { bytes: length, head: Some(head), end: self.is_between() })
+        Ok(Step { bytes: length, head: Some(head), end: self.is_at_start() })
     }
 
-    fn sized(&mut self, left: u64, bytes: &[u8]) -> Step {
-        let taken = left.min(bytes.len() as u64);
-        self.state = if taken == left { State::Head } else { State::Sized(left - taken) };
+    fn sized_body(&mut self, remaining: u64, bytes: &[u8]) -> Step {
+        let taken = remaining.min(bytes.len() as u64);
+        self.state = if taken == remaining { State::Head } else { State::Sized(remaining - taken) };
         let bytes = usize::try_from(taken).unwrap_or(bytes.len());
-        Step { bytes, head: None, end: taken == left }
+        Step { bytes, head: None, end: taken == remaining }
     }
 
-    fn line(&mut self, bytes: &[u8]) -> Result<Step, Fault> {
+    fn chunk_size(&mut self, bytes: &[u8]) -> Result<Step, Fault> {
         let Some(length) = line_end(bytes)? else { return Ok(Step::default()) };
         let line = bytes.get(..length - LINE_END.len()).unwrap_or_default();
         let digits = line.iter().take_while(|b| b.is_ascii_hexdigit()).count();
@@ -155,15 +155,16 @@
         }
         let size = std::str::from_utf8(&line[..digits]).ok();
         let size = size.and_then(|s| u64::from_str_radix(s, 16).ok());
-        let size = size.filter(|size| *size <= CHUNK_BYTES).ok_or(Fault::Malformed)?;
+        let size = size.filter(|size| *size <= MAX_CHUNK_BYTES).ok_or(Fault::Malformed)?;
         let end = LINE_END.len() as u64;
         self.state = if size == 0 { State::Trailer } else { State::Chunk(size + end) };
         Ok(Step { bytes: length, ..Step::default() })
     }
 
-    fn chunk(&mut self, left: u64, bytes: &[u8]) -> Step {
-        let taken = left.min(bytes.len() as u64);
-        self.state = if taken == left { State::Line } else { State::Chunk(left - taken) };
+    fn chunk(&mut self, remaining: u64, bytes: &[u8]) -> Step {
+        let taken = remaining.min(bytes.len() as u64);
+        self.state =
+            if taken == remaining { State::ChunkSize } else { State::Chunk(remaining - taken) };
         Step { bytes: usize::try_from(taken).unwrap_or(bytes.len()), ..Step::default() }
     }
 
@@ -177,37 +178,38 @@
     }
 }
 
-/// The end of a line. A bare line feed is none: some readers take it for one and some don't.
+/// The end of a line. A bare line feed is refused: some parsers accept it as a line end, others
+/// don't.
 const LINE_END: &[u8] = b"\r\n";
 
-/// Length of the line that `bytes` begin with, its end included.
+/// Length of the first line of `bytes`, including its end; `None` while the line is incomplete.
 fn line_end(bytes: &[u8]) -> Result<Option<usize>, Fault> {
-    let within = bytes.get(..LINE_BYTES.min(bytes.len())).unwrap_or_default();
+    let within = bytes.get(..MAX_LINE_BYTES.min(bytes.len())).unwrap_or_default();
     match within.iter().position(|b| *b == b'\n') {
         Some(feed) if feed > 0 && within[feed - 1] == b'\r' => Ok(Some(feed + 1)),
         Some(_) => Err(Fault::Malformed),
-        None if within.len() >= LINE_BYTES => Err(Fault::Malformed),
+        None if within.len() >= MAX_LINE_BYTES => Err(Fault::Malformed),
         None => Ok(None),
     }
 }
 
-/// How the end of a body is known.
-enum Body {
+/// How the end of a body is marked.
+enum Framing {
     Sized(u64),
     Chunked,
 }
 
-fn body(fields: &[httparse::Header<'_>]) -> Result<Body, Fault> {
+fn framing(fields: &[httparse::Header<'_>]) -> Result<Framing, Fault> {
     let mut codings = named(fields, "transfer-encoding");
     let mut lengths = named(fields, "content-length");
     match (codings.next(), lengths.next()) {
-        (None, None) => Ok(Body::Sized(0)),
-        (None, Some(length)) if lengths.next().is_none() => number(length).map(Body::Sized),
+        (None, None) => Ok(Framing::Sized(0)),
+        (None, Some(length)) if lengths.next().is_none() => number(length).map(Framing::Sized),
         (Some(coding), None) if codings.next().is_none() => {
             let chunked = coding.trim_ascii().eq_ignore_ascii_case(b"chunked");
-            if chunked { Ok(Body::Chunked) } else { Err(Fault::Malformed) }
+            if chunked { Ok(Framing::Chunked) } else { Err(Fault::Malformed) }
         }
-        // Two lengths, or a length beside a coding: each reader may believe another one.
+        // Two lengths, or a length and a coding: parsers differ in which one they use.
         _ => Err(Fault::Malformed),
     }
 }
@@ -221,10 +223,10 @@
     text.parse().map_err(|_| Fault::Malformed)
 }
 
-fn is_last(version: Option<u8>, fields: &[httparse::Header<'_>]) -> bool {
+fn wants_close(version: Option<u8>, fields: &[httparse::Header<'_>]) -> bool {
     let mut words = named(fields, "connection").flat_map(|v| v.split(|b| *b == b','));
     let says = |word: &[u8], wanted: &[u8]| word.trim_ascii().eq_ignore_ascii_case(wanted);
-    // An older caller keeps its connection only if it says so; it is closed all the same.
+    // HTTP/1.0 keeps a connection only on request. That request is not supported.
     version == Some(0) || words.any(|word| says(word, b"close"))
 }
 
--- a/src/proxy/frame/tests.rs
+++ b/src/proxy/frame/tests.rs
@@ -5,7 +5,7 @@
 
 const LIMITS: frame::Limits = frame::Limits { head: 256, fields: 8 };
 
-/// Lengths of the requests in `bytes`, which come in pieces of at most `piece` bytes.
+/// Lengths of the requests in `bytes`, which arrive in pieces of at most `piece` bytes.
 fn cut(bytes: &[u8], piece: usize) -> Result<Vec<usize>, frame::Fault> {
     let mut framer = frame::Framer::new(LIMITS);
     let (mut lengths, mut length) = (Vec::new(), 0);
@@ -38,7 +38,7 @@
 #[case::sized(&[SIZED, GET])]
 #[case::chunked(&[CHUNKED, SIZED, CHUNKED])]
 #[case::empty_body(&["POST / HTTP/1.1\r\ncontent-length: 0\r\n\r\n", GET])]
-fn requests_are_cut_wherever_their_bytes_are(#[case] requests: &[&str]) {
+fn requests_are_found_however_their_bytes_arrive(#[case] requests: &[&str]) {
     let bytes = requests.concat();
     let wanted: Vec<usize> = requests.iter().map(|r| r.len()).collect();
     for piece in [1, 2, 3, 7, 50, bytes.len()] {
@@ -58,7 +58,7 @@
 #[case::two_codings("transfer-encoding: chunked\r\ntransfer-encoding: chunked")]
 #[case::space_before_colon("content-length : 5")]
 #[case::folded("x: a\r\n content-length: 5")]
-fn a_body_of_two_lengths_is_refused(#[case] fields: &str) {
+fn a_body_of_ambiguous_length_is_refused(#[case] fields: &str) {
     let bytes = format!("POST /a HTTP/1.1\r\nhost: a\r\n{fields}\r\n\r\nhello");
     assert_eq!(cut(bytes.as_bytes(), bytes.len()), Err(frame::Fault::Malformed));
 }
@@ -70,7 +70,7 @@
 #[case::space_behind_size("5 \r\nhello")]
 #[case::signed_size("+5\r\nhello")]
 #[case::huge_size("ffffffffffffffff\r\nhello")]
-fn a_chunk_of_unclear_size_is_refused(#[case] chunk: &str) {
+fn a_chunk_of_invalid_size_is_refused(#[case] chunk: &str) {
     let bytes = format!("POST /a HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n{chunk}");
     assert_eq!(cut(bytes.as_bytes(), bytes.len()), Err(frame::Fault::Malformed));
 }
@@ -78,24 +78,24 @@
 #[rstest]
 #[case::no_request("hello\r\n\r\n", frame::Fault::Malformed)]
 #[case::tunnel("CONNECT a:1 HTTP/1.1\r\nhost: a\r\n\r\n", frame::Fault::Malformed)]
-#[case::old_and_chunked(
+#[case::chunked_in_http_1_0(
     "POST / HTTP/1.0\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n",
     frame::Fault::Malformed
 )]
-fn what_is_no_request_is_refused(#[case] bytes: &str, #[case] fault: frame::Fault) {
+fn bytes_that_are_no_request_are_refused(#[case] bytes: &str, #[case] fault: frame::Fault) {
     assert_eq!(cut(bytes.as_bytes(), bytes.len()), Err(fault));
 }
 
 #[rstest]
 #[case::whole(300)]
 #[case::by_the_byte(1)]
-fn a_head_beyond_its_limit_is_refused(#[case] piece: usize) {
+fn a_head_over_the_size_limit_is_refused(#[case] piece: usize) {
     let bytes = format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "a".repeat(LIMITS.head));
     assert_eq!(cut(bytes.as_bytes(), piece), Err(frame::Fault::TooLarge));
 }
 
 #[test]
-fn a_head_of_too_many_fields_is_refused() {
+fn a_head_with_too_many_fields_is_refused() {
     let bytes = format!("GET / HTTP/1.1\r\n{}\r\n", "a: b\r\n".repeat(LIMITS.fields + 1));
     assert_eq!(cut(bytes.as_bytes(), bytes.len()), Err(frame::Fault::TooLarge));
 }
@@ -105,23 +105,23 @@
 #[case::close("HTTP/1.1\r\nconnection: Close\r\n", true)]
 #[case::close_among_others("HTTP/1.1\r\nconnection: te, close\r\n", true)]
 #[case::keep_alive("HTTP/1.1\r\nconnection: keep-alive\r\n", false)]
-#[case::old("HTTP/1.0\r\n", true)]
-fn the_last_request_is_known(#[case] rest: &str, #[case] last: bool) {
+#[case::http_1_0("HTTP/1.0\r\n", true)]
+fn a_request_to_close_the_connection_is_recognised(#[case] rest: &str, #[case] close: bool) {
     let bytes = format!("GET / {rest}\r\n");
     let step = frame::Framer::new(LIMITS).step(bytes.as_bytes()).expect("a request");
-    assert_eq!(step.head, Some(frame::Head { last }));
+    assert_eq!(step.head, Some(frame::Head { close }));
 }
 
 proptest! {
     #[test]
-    fn any_bytes_are_taken_or_refused(bytes: Vec<u8>, piece in 1usize..64) {
+    fn any_bytes_are_parsed_or_refused(bytes: Vec<u8>, piece in 1usize..64) {
         if let Ok(lengths) = cut(&bytes, piece) {
             prop_assert!(lengths.iter().sum::<usize>() <= bytes.len());
         }
     }
 
     #[test]
-    fn pieces_change_nothing(
+    fn the_pieces_do_not_matter(
         body in "[a-z]{0,40}",
         tail in "(GET / HTTP/1.1\r\n\r\n){0,3}|[ -~\r\n]{0,60}",
         piece in 1usize..64,
--- a/src/proxy/held_answers.rs
+++ b/src/proxy/held_answers.rs
@@ -1,4 +1,4 @@
-//! Answers to calls with an idempotency key, held for a short time for their duplicates.
+//! Answers to calls with an idempotency key, held for a limited time for duplicates of the call.
 
 use std::cell::{Cell, RefCell};
 use std::collections;
@@ -13,22 +13,22 @@
 use crate::proxy::body;
 use crate::proxy::headers;
 
-/// Bytes counted for an answer beside its body.
-const HEAD_BYTES: usize = 512;
+/// Bytes counted for an answer in addition to its body.
+const OVERHEAD_BYTES: usize = 512;
 
-/// A hash of what a caller asked, to tell two requests with the same key apart.
-pub type Print = blake3::Hash;
+/// Hash of a request, to tell two requests with the same key apart.
+pub type RequestHash = blake3::Hash;
 
-/// Names the first call of a key: the key and the number of its attempt at this entry.
+/// Identifies the first call of a key at its entry node.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub struct Name {
-    /// The key.
+pub struct CallId {
+    /// The idempotency key.
     pub key: claim::Key,
     /// [`claim::Attempt::number`].
     pub number: u64,
 }
 
-/// An answer that was read whole.
+/// A buffered answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
     status: http::StatusCode,
@@ -37,7 +37,7 @@
 }
 
 impl Answer {
-    /// A copy of `answer`; `None` when it streams.
+    /// A copy of `answer`; `None` if its body is streamed.
     pub fn copy(answer: &http::Response<body::Reply>) -> Option<Self> {
         let body = answer.body().bytes()?.clone();
         Some(Self { status: answer.status(), headers: answer.headers().clone(), body })
@@ -45,7 +45,7 @@
 
     /// The answer for a duplicate.
     pub fn replay(self) -> http::Response<body::Reply> {
-        let mut answer = http::Response::new(body::Reply::whole(self.body));
+        let mut answer = http::Response::new(body::Reply::buffered(self.body));
         *answer.status_mut() = self.status;
         *answer.headers_mut() = self.headers;
         let held = header::HeaderValue::from_static(headers::HELD);
@@ -54,104 +54,110 @@
     }
 }
 
-/// How the first call of a key stands.
+/// The state of the first call of a key.
 #[derive(Clone, Debug)]
-pub enum Found {
+pub enum FirstCall {
     /// It ran; this is its answer.
     Answer(Answer),
-    /// It is proven not to have run, and its claim is given up.
+    /// It is proven not to have run, and its claim is released.
     Released,
-    /// Nothing is known, or it was another request.
-    Gone,
+    /// Nothing is known, or the key was used for another request.
+    Unknown,
 }
 
 #[derive(Debug)]
 struct Entry {
-    print: Print,
+    request_hash: RequestHash,
     /// `None` while the call is in flight.
-    found: watch::Receiver<Option<Found>>,
+    state: watch::Receiver<Option<FirstCall>>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Kept {
-    name: Name,
+struct HeldEntry {
+    id: CallId,
     bytes: usize,
     until: time::Instant,
 }
 
-/// How much is held, and for how long.
+/// Limits on the held answers.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest.
+    /// Maximum time for which an answer is held.
     pub time: time::Duration,
-    /// Most answers.
+    /// Maximum number of answers.
     pub count: usize,
-    /// Most bytes.
+    /// Maximum number of bytes.
     pub bytes: usize,
 }
 
-/// The answers.
+/// The held answers.
 ///
-/// Invariant: `kept` names the entries that have ended, oldest first, and `bytes` is their sum.
+/// Invariant: `by_age` lists the entries of calls that have ended, oldest first, and `bytes` is the
+/// sum of their sizes.
 #[derive(Debug)]
-pub struct Held {
+pub struct HeldAnswers {
     limits: Limits,
-    entries: RefCell<collections::HashMap<Name, Entry>>,
-    kept: RefCell<collections::VecDeque<Kept>>,
+    entries: RefCell<collections::HashMap<CallId, Entry>>,
+    by_age: RefCell<collections::VecDeque<HeldEntry>>,
     bytes: Cell<usize>,
 }
 
-/// A call in flight whose answer is to be held. Dropped without an answer, its duplicates are
-/// told that nothing is known.
+/// A call in flight whose answer will be held. If this is dropped without an answer, duplicates get
+/// [`FirstCall::Unknown`].
 #[derive(Debug)]
-pub struct Flying {
-    held: Rc<Held>,
-    name: Name,
-    sender: watch::Sender<Option<Found>>,
+pub struct PendingAnswer {
+    held: Rc<HeldAnswers>,
+    id: CallId,
+    sender: watch::Sender<Option<FirstCall>>,
 }
 
-impl Held {
-    /// Holds nothing yet.
+impl HeldAnswers {
+    /// No held answers.
     pub fn new(limits: Limits) -> Self {
-        Self { limits, entries: RefCell::default(), kept: RefCell::default(), bytes: Cell::new(0) }
+        Self {
+            limits,
+            entries: RefCell::default(),
+            by_age: RefCell::default(),
+            bytes: Cell::new(0),
+        }
     }
 
-    /// Notes a call in flight.
-    pub fn begin(self: &Rc<Self>, name: Name, print: Print) -> Flying {
-        let (sender, found) = watch::channel(None);
-        self.entries.borrow_mut().insert(name, Entry { print, found });
-        Flying { held: Rc::clone(self), name, sender }
+    /// Adds a call in flight.
+    pub fn begin(self: &Rc<Self>, id: CallId, request_hash: RequestHash) -> PendingAnswer {
+        let (sender, state) = watch::channel(None);
+        self.entries.borrow_mut().insert(id, Entry { request_hash, state });
+        PendingAnswer { held: Rc::clone(self), id, sender }
     }
 
-    /// How the call `name` stands, waiting while it is in flight.
-    pub async fn find(&self, name: Name, print: Print) -> Found {
-        let known = self.entries.borrow().get(&name).map(|e| (e.print, e.found.clone()));
-        let Some((first, mut found)) = known else { return Found::Gone };
-        if first != print {
-            return Found::Gone;
+    /// The state of the call `id`; waits while it is in flight.
+    pub async fn find(&self, id: CallId, request_hash: RequestHash) -> FirstCall {
+        let known = self.entries.borrow().get(&id).map(|e| (e.request_hash, e.state.clone()));
+        let Some((first_hash, mut state)) = known else { return FirstCall::Unknown };
+        if first_hash != request_hash {
+            return FirstCall::Unknown;
         }
-        match found.wait_for(Option::is_some).await {
-            Ok(found) => found.clone().unwrap_or(Found::Gone),
-            Err(_) => Found::Gone,
+        match state.wait_for(Option::is_some).await {
+            Ok(state) => state.clone().unwrap_or(FirstCall::Unknown),
+            Err(_) => FirstCall::Unknown,
         }
     }
 
-    /// Drops what has been held for long enough.
-    pub fn tidy(&self) {
+    /// Removes the answers that have been held for the maximum time.
+    pub fn remove_expired(&self) {
         let now = time::Instant::now();
-        while self.kept.borrow().front().is_some_and(|k| k.until <= now) {
+        while self.by_age.borrow().front().is_some_and(|k| k.until <= now) {
             self.drop_oldest();
         }
     }
 
-    /// How many answers are held.
+    /// Number of held answers.
     pub fn count(&self) -> usize {
-        self.kept.borrow().len()
+        self.by_age.borrow().len()
     }
 
-    fn keep(&self, name: Name, bytes: usize) {
+    fn keep(&self, id: CallId, bytes: usize) {
         let until = time::Instant::now() + self.limits.time;
-        self.kept.borrow_mut().push_back(Kept { name, bytes, until });
+        self.by_age.borrow_mut().push_back(HeldEntry { id, bytes, until });
         self.bytes.set(self.bytes.get() + bytes);
         while self.count() > self.limits.count || self.bytes.get() > self.limits.bytes {
             self.drop_oldest();
@@ -159,34 +165,34 @@
     }
 
     fn drop_oldest(&self) {
-        if let Some(kept) = self.kept.borrow_mut().pop_front() {
-            self.bytes.set(self.bytes.get().saturating_sub(kept.bytes));
-            self.entries.borrow_mut().remove(&kept.name);
+        if let Some(oldest) = self.by_age.borrow_mut().pop_front() {
+            self.bytes.set(self.bytes.get().saturating_sub(oldest.bytes));
+            self.entries.borrow_mut().remove(&oldest.id);
         }
     }
 }
 
-impl Flying {
-    /// The call ran: holds its answer if it was read whole.
+impl PendingAnswer {
+    /// The call ran: holds its answer if it is buffered.
     pub fn ran(self, answer: &http::Response<body::Reply>) {
         if let Some(answer) = Answer::copy(answer) {
-            let bytes = answer.body.len() + HEAD_BYTES;
-            self.sender.send_replace(Some(Found::Answer(answer)));
-            self.held.keep(self.name, bytes);
+            let bytes = answer.body.len() + OVERHEAD_BYTES;
+            self.sender.send_replace(Some(FirstCall::Answer(answer)));
+            self.held.keep(self.id, bytes);
         }
     }
 
     /// The call is proven not to have run.
     pub fn released(self) {
-        self.sender.send_replace(Some(Found::Released));
-        self.held.keep(self.name, HEAD_BYTES);
+        self.sender.send_replace(Some(FirstCall::Released));
+        self.held.keep(self.id, OVERHEAD_BYTES);
     }
 }
 
-impl Drop for Flying {
+impl Drop for PendingAnswer {
     fn drop(&mut self) {
         if self.sender.borrow().is_none() {
-            self.held.entries.borrow_mut().remove(&self.name);
+            self.held.entries.borrow_mut().remove(&self.id);
         }
     }
 }
--- a/src/proxy/idempotency.rs
+++ b/src/proxy/idempotency.rs
@@ -1,4 +1,5 @@
-//! Non-idempotent calls with an idempotency key: claimed before they run, answered once.
+//! Calls of non-idempotent kinds with an idempotency key: the key is claimed before the call runs,
+//! and duplicates get the answer of the first call.
 
 use std::rc::Rc;
 
@@ -18,116 +19,118 @@
 use crate::proxy::upload;
 use crate::retry;
 
-/// Claims made for one call: another one follows when the first call of the key is proven not to
-/// have run.
-const CLAIMS: u8 = 3;
+/// Maximum number of claims for one call. Another claim follows if the first call of the key is
+/// proven not to have run.
+const MAX_CLAIMS: u8 = 3;
 
-/// A claim that is given up when its call ends before it was sent anywhere.
+/// A claim that is released when it is dropped before its verdict has arrived.
 struct Claim<C: claim::Claims> {
     claims: C,
     key: claim::Key,
     attempt: claim::Attempt,
-    stands: bool,
+    confirmed: bool,
 }
 
 impl<C: claim::Claims> Claim<C> {
     fn release(mut self) {
-        self.stands = true;
+        self.confirmed = true;
         self.claims.release(self.key, self.attempt);
     }
 }
 
 impl<C: claim::Claims> Drop for Claim<C> {
     fn drop(&mut self) {
-        if !self.stands {
+        if !self.confirmed {
             self.claims.release(self.key, self.attempt);
         }
     }
 }
 
-/// Runs a call once for its key, or answers it with the answer of the key's first call.
+/// Runs a call if it is the first one of its key, or returns the answer of the first call.
 ///
 /// # Errors
 ///
-/// [`retry::Reason::Conflict`] as unknown when the first call's answer is not held.
+/// [`retry::Reason::Conflict`] with an unknown outcome if the answer of the first call is not held.
 pub async fn run<C: claim::Claims>(
     state: Rc<state::State<C>>,
-    job: call::Job,
-    mut hold: resources::Hold,
+    call: call::Call,
+    mut resources: resources::Resources,
     text: header::HeaderValue,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
-    let path = job.ask.path.path();
-    let key = claim::Key::new(job.ask.method.as_str(), path, text.as_bytes());
-    let print = print(&job);
-    for _ in 0..CLAIMS {
+    let path = call.head.path.path();
+    let key = claim::Key::new(call.head.method.as_str(), path, text.as_bytes());
+    let request_hash = request_hash(&call);
+    for _ in 0..MAX_CLAIMS {
         let attempt = attempt(&state);
-        let flying = state.held.begin(held_answers::Name { key, number: attempt.number }, print);
-        let mut claim = Claim { claims: state.claims.clone(), key, attempt, stands: false };
-        let verdict = match state.claims.claim(key, attempt, job.deadline).await {
+        let pending = state
+            .held_answers
+            .begin(held_answers::CallId { key, number: attempt.number }, request_hash);
+        let mut claim = Claim { claims: state.claims.clone(), key, attempt, confirmed: false };
+        let verdict = match state.claims.claim(key, attempt, call.deadline).await {
             Ok(verdict) => verdict,
-            Err(error) => return Err(end(&mut hold, unclaimed(error))),
+            Err(error) => return Err(count_end(&mut resources, claim_refusal(error))),
         };
-        claim.stands = true;
+        claim.confirmed = true;
         let other = match verdict {
-            claim::Verdict::First => return first(&state, &job, hold, claim, flying).await,
+            claim::Verdict::First => return first(&state, &call, resources, claim, pending).await,
             claim::Verdict::Taken(other) => other,
         };
-        drop(flying);
-        if let Some(result) = duplicate(&state, &job, key, other, print).await {
-            return result.map_err(|refusal| end(&mut hold, refusal));
+        drop(pending);
+        if let Some(result) = duplicate(&state, &call, key, other, request_hash).await {
+            return result.map_err(|refusal| count_end(&mut resources, refusal));
         }
     }
-    let refusal = refuse::Refusal::not_run(retry::Reason::Conflict).again(state.pause());
-    Err(end(&mut hold, refusal))
+    let refusal = refuse::Refusal::not_run(retry::Reason::Conflict).retry_in(state.retry_delay());
+    Err(count_end(&mut resources, refusal))
 }
 
-/// Runs the key's first call.
+/// Runs the first call of a key.
 async fn first<C: claim::Claims>(
     state: &Rc<state::State<C>>,
-    job: &call::Job,
-    hold: resources::Hold,
+    call: &call::Call,
+    resources: resources::Resources,
     claim: Claim<C>,
-    flying: held_answers::Flying,
+    pending: held_answers::PendingAnswer,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
-    let result = call::run(state, job, hold).await;
+    let result = call::run(state, call, resources).await;
     match &result {
-        Ok(answer) => flying.ran(answer),
+        Ok(answer) => pending.ran(answer),
         Err(refusal) if matches!(refusal.outcome, retry::Outcome::NotRun(_)) => {
             claim.release();
-            flying.released();
+            pending.released();
         }
-        Err(_) => drop(flying),
+        Err(_) => drop(pending),
     }
     result
 }
 
-/// The answer of the key's first call; `None` when that call is proven not to have run.
+/// The answer of the key's first call; `None` if that call is proven not to have run.
 async fn duplicate<C: claim::Claims>(
     state: &Rc<state::State<C>>,
-    job: &call::Job,
+    call: &call::Call,
     key: claim::Key,
     other: claim::Attempt,
-    print: held_answers::Print,
+    request_hash: held_answers::RequestHash,
 ) -> Option<Result<http::Response<body::Reply>, refuse::Refusal>> {
-    const GONE: refuse::Refusal = refuse::Refusal::unknown(retry::Reason::Conflict);
-    let name = held_answers::Name { key, number: other.number };
-    let end = state.timer(job.deadline);
+    const UNKNOWN: refuse::Refusal = refuse::Refusal::unknown(retry::Reason::Conflict);
+    let id = held_answers::CallId { key, number: other.number };
+    let end = state.timer(call.deadline);
     if other.host == state.me {
-        return match time::timeout_at(end, state.held.find(name, print)).await {
-            Ok(held_answers::Found::Answer(answer)) => Some(Ok(answer.replay())),
-            Ok(held_answers::Found::Released) => None,
-            Ok(held_answers::Found::Gone) | Err(_) => Some(Err(GONE)),
+        return match time::timeout_at(end, state.held_answers.find(id, request_hash)).await {
+            Ok(held_answers::FirstCall::Answer(answer)) => Some(Ok(answer.replay())),
+            Ok(held_answers::FirstCall::Released) => None,
+            Ok(held_answers::FirstCall::Unknown) | Err(_) => Some(Err(UNKNOWN)),
         };
     }
-    let request = internode::ask(name, print, job.deadline, state.ctx.now());
-    let Some(request) = request else { return Some(Err(GONE)) };
+    let request = internode::held_answer_request(id, request_hash, call.deadline, state.ctx.now());
+    let Some(request) = request else { return Some(Err(UNKNOWN)) };
     let answer = internode::call(&state.links, other.host, request, end).await;
     match answer.result {
-        Ok(answer) => Some(read(state, answer, end).await.map_err(|_| GONE)),
+        Ok(answer) => Some(read(state, answer, end).await.map_err(|_| UNKNOWN)),
         Err(refuse::Refusal {
             outcome: retry::Outcome::NotRun(retry::Reason::Conflict), ..
         }) => None,
-        Err(_) => Some(Err(GONE)),
+        Err(_) => Some(Err(UNKNOWN)),
     }
 }
 
@@ -137,47 +140,48 @@
     end: time::Instant,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
     let (parts, incoming) = answer.into_parts();
-    let wire = received_body::Wire::new(incoming, received_body::Carrier::Inner);
-    let mut hold = resources::Hold::default();
-    let reply = body::Reply::read(wire, state.settings.proxy.whole_bytes, end, &mut hold).await?;
+    let received = received_body::ReceivedBody::new(incoming, received_body::Carrier::Http2);
+    let mut resources = resources::Resources::default();
+    let reply =
+        body::Reply::read(received, state.settings.proxy.whole_bytes, end, &mut resources).await?;
     let mut answer = http::Response::from_parts(parts, reply);
     let held = header::HeaderValue::from_static(headers::HELD);
     answer.headers_mut().insert(headers::ANSWER, held);
     Ok(answer)
 }
 
-/// Counts the end of a call that did not get as far as an attempt.
-fn end(hold: &mut resources::Hold, refusal: refuse::Refusal) -> refuse::Refusal {
-    if let Some(count) = hold.count.take() {
+/// Counts a call that ended before its first attempt.
+fn count_end(resources: &mut resources::Resources, refusal: refuse::Refusal) -> refuse::Refusal {
+    if let Some(count) = resources.count.take() {
         count.ended(refusal.outcome);
     }
     refusal
 }
 
-fn unclaimed(error: claim::Error) -> refuse::Refusal {
+fn claim_refusal(error: claim::Error) -> refuse::Refusal {
     match error {
         claim::Error::Unavailable { retry_after } | claim::Error::Busy { retry_after } => {
-            refuse::Refusal::not_run(retry::Reason::LogDown).again(retry_after)
+            refuse::Refusal::not_run(retry::Reason::LogDown).retry_in(retry_after)
         }
         claim::Error::Late => refuse::Refusal::not_run(retry::Reason::TooLate),
     }
 }
 
-/// Names the claim of one call at this entry.
+/// The identity of a claim at this entry node.
 fn attempt<C: claim::Claims>(state: &state::State<C>) -> claim::Attempt {
     let incarnation = state.view.borrow().host(state.me).map_or(0, |h| h.incarnation);
-    claim::Attempt { host: state.me, incarnation, number: state.number() }
+    claim::Attempt { host: state.me, incarnation, number: state.next_number() }
 }
 
-/// What tells this request from another one with the same key.
-fn print(job: &call::Job) -> held_answers::Print {
+/// The hash that tells this request from another one with the same key.
+fn request_hash(call: &call::Call) -> held_answers::RequestHash {
     let mut hasher = blake3::Hasher::new();
-    hasher.update(job.ask.method.as_str().as_bytes());
+    hasher.update(call.head.method.as_str().as_bytes());
     hasher.update(&[0]);
-    hasher.update(job.ask.path.as_str().as_bytes());
+    hasher.update(call.head.path.as_str().as_bytes());
     hasher.update(&[0]);
-    if let upload::Intake::Kept(kept) = &job.intake {
-        hasher.update(&kept.bytes);
+    if let upload::Body::Buffered(body) = &call.body {
+        hasher.update(&body.bytes);
     }
     hasher.finalize()
 }
--- a/src/proxy/inbound_link.rs
+++ b/src/proxy/inbound_link.rs
@@ -1,10 +1,10 @@
-//! Long bodies from other nodes take turns on this host's link.
+//! Schedules long bodies from other nodes on this host's link.
 //!
-//! A thin link that carries many bodies at once delays everything else on it by all that their
-//! senders have under way: some hundred kilobytes take a second at 5 Mbit/s. So each body may have
-//! only a small window under way, and few bodies are read at once. The link stays busy, and what is
-//! short waits for a few windows at most: with eleven uploads a second on a link of 6.5 Mbit/s,
-//! 10 ms in place of 273 (90th percentile, virtual time, the test
+//! On a slow link, everything else waits behind the bytes that the senders of many concurrent
+//! bodies have in flight: a few hundred kilobytes take a second at 5 Mbit/s. So each body gets a
+//! small flow-control window, and few bodies are read at once. The link stays busy, and short calls
+//! wait for a few windows at most: with eleven uploads a second on a link of 6.5 Mbit/s, 10 ms in
+//! place of 273 ms (90th percentile, virtual time, the test
 //! `short_calls_pass_a_link_that_uploads_fill`).
 
 use std::cell::Cell;
@@ -25,118 +25,116 @@
 #[cfg(test)]
 mod tests;
 
-/// How long the link may be taken up by bytes that are under way: an eighth of the shortest target
-/// that calls have (150 ms), and ten times the way between two availability zones.
-const UNDER_WAY: Duration = Duration::from_millis(20);
+/// Maximum time that bytes in flight may occupy the link: an eighth of the shortest target latency
+/// of calls (150 ms), and ten times the latency between two availability zones.
+const MAX_LINK_TIME: Duration = Duration::from_millis(20);
 
-/// Bodies read at once at the least, so that slow senders don't leave the link idle.
-const LEAST_TURNS: usize = 8;
+/// Minimum number of bodies read at once, so that slow senders don't leave the link idle.
+const MIN_TURNS: usize = 8;
 
-/// Smallest window of a body, in bytes. Each body sends as much before it has a turn; eight of them
-/// fill a link of 6.5 Mbit/s over 20 ms.
-const LEAST_WINDOW: u32 = 2048;
+/// Minimum window of a body, which each body may send before it has a turn. Eight windows fill a
+/// link of 6.5 Mbit/s for 20 ms.
+const MIN_WINDOW_BYTES: u32 = 2048;
 
-/// A sender that is silent for as long gives up its turn until it goes on.
-const STALL: Duration = Duration::from_millis(50);
+/// A sender that is silent for this time loses its turn until it sends again.
+const STALL_TIMEOUT: Duration = Duration::from_millis(50);
 
 const BITS_PER_BYTE: f64 = 8.0;
 
-/// How a link is shared.
+/// How a link is shared between bodies.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Plan {
-    /// Bytes of one body that may be under way.
+    /// Bytes of one body that may be in flight.
     pub window: u32,
-    /// Bodies that are read at once.
+    /// Maximum number of bodies that are read at once.
     pub turns: usize,
 }
 
 impl Plan {
-    /// The plan for the link of `settings`; one whose rate is not known has no turns to wait for.
+    /// The plan for the link of `settings`. If its rate is not known, no body waits for a turn.
     pub fn new(settings: &configs::proxy::Proxy) -> Self {
         if settings.link_mbps <= 0.0 {
             return Self { window: settings.stream_bytes, turns: sync::Semaphore::MAX_PERMITS };
         }
         let rate = settings.link_mbps * 1e6 / BITS_PER_BYTE;
-        let bytes = rate * UNDER_WAY.as_secs_f64();
-        let share = (bytes / LEAST_TURNS as f64) as u32;
-        let window = share.clamp(LEAST_WINDOW, settings.stream_bytes.max(LEAST_WINDOW));
+        let bytes = rate * MAX_LINK_TIME.as_secs_f64();
+        let share = (bytes / MIN_TURNS as f64) as u32;
+        let window = share.clamp(MIN_WINDOW_BYTES, settings.stream_bytes.max(MIN_WINDOW_BYTES));
         let turns = (bytes / f64::from(window)) as usize;
-        Self { window, turns: turns.max(LEAST_TURNS) }
+        Self { window, turns: turns.max(MIN_TURNS) }
     }
 }
 
-/// Time for which `bytes` take up the link of `settings`, in microseconds; 0 where its rate is not
-/// known.
+/// Time that `bytes` occupy the link of `settings`, in microseconds; 0 if its rate is not known.
 pub fn link_time(settings: &configs::proxy::Proxy, bytes: u64) -> f32 {
     let mbps = settings.link_mbps;
     if mbps <= 0.0 { 0.0 } else { (bytes as f64 * BITS_PER_BYTE / mbps) as f32 }
 }
 
-/// The turns on one link.
+/// The link of this host, as bodies from other nodes share it.
 #[derive(Debug)]
-pub struct Inflow {
+pub struct InboundLink {
     plan: Plan,
     turns: sync::Semaphore,
-    /// Bytes of bodies that have begun to come in and are not there yet.
-    ahead: Cell<u64>,
+    /// Announced bytes of bodies that have not been received yet.
+    pending: Cell<u64>,
 }
 
-/// One body's place on the link. It holds a turn only while its bytes come in.
+/// A body on the link. It holds a turn only while its bytes are received.
 #[derive(Debug)]
 pub struct Turn<'a> {
-    inflow: &'a Inflow,
+    link: &'a InboundLink,
     permit: Option<sync::SemaphorePermit<'a>>,
-    /// Bytes of it that count as ahead.
-    left: u64,
+    /// Its share of the pending bytes.
+    remaining: u64,
 }
 
-impl Inflow {
-    /// Turns as `plan` says.
+impl InboundLink {
+    /// A link shared by `plan`.
     pub fn new(plan: Plan) -> Self {
-        Self { plan, turns: sync::Semaphore::new(plan.turns), ahead: Cell::new(0) }
+        Self { plan, turns: sync::Semaphore::new(plan.turns), pending: Cell::new(0) }
     }
 
-    /// A place for a body of `bytes`, as far as that is known; it waits when the body is read.
+    /// Adds a body of `bytes`, or as many as are known. It waits for its turn when it is read.
     pub fn turn(&self, bytes: u64) -> Turn<'_> {
-        self.ahead.set(self.ahead.get() + bytes);
-        Turn { inflow: self, permit: None, left: bytes }
+        self.pending.set(self.pending.get() + bytes);
+        Turn { link: self, permit: None, remaining: bytes }
     }
 
-    /// Bytes that come in before those of a body that begins now.
-    pub const fn ahead(&self) -> u64 {
-        self.ahead.get()
+    /// Bytes that will be received before those of a body that starts now.
+    pub const fn pending_bytes(&self) -> u64 {
+        self.pending.get()
     }
 }
 
 impl Turn<'_> {
-    /// Counts `bytes` as there.
-    fn note(&mut self, bytes: u64) {
-        let there = bytes.min(self.left);
-        self.left -= there;
-        self.inflow.ahead.set(self.inflow.ahead.get() - there);
+    /// Counts `bytes` as received.
+    fn record(&mut self, bytes: u64) {
+        let received = bytes.min(self.remaining);
+        self.remaining -= received;
+        self.link.pending.set(self.link.pending.get() - received);
     }
 
-    /// Waits for a turn if `rest` needs one.
-    async fn enter(&mut self, rest: &received_body::Wire) {
-        let short =
-            rest.size_hint().upper().is_some_and(|n| n <= u64::from(self.inflow.plan.window));
+    /// Waits for a turn, unless what remains of the body fits into one window.
+    async fn enter(&mut self, rest: &received_body::ReceivedBody) {
+        let short = rest.size_hint().upper().is_some_and(|n| n <= u64::from(self.link.plan.window));
         if short || self.permit.is_some() {
             return;
         }
         // The semaphore is never closed; without a permit the body is read all the same.
-        self.permit = self.inflow.turns.acquire().await.ok();
+        self.permit = self.link.turns.acquire().await.ok();
     }
 
-    /// The next part of `rest`, in turn.
+    /// The next frame of `rest`, read within a turn.
     async fn read(
         &mut self,
-        rest: &mut received_body::Wire,
+        rest: &mut received_body::ReceivedBody,
     ) -> Option<Result<Frame<Bytes>, error::Broken>> {
         self.enter(rest).await;
         if self.permit.is_none() {
             return rest.frame().await;
         }
-        if let Ok(frame) = time::timeout(STALL, rest.frame()).await {
+        if let Ok(frame) = time::timeout(STALL_TIMEOUT, rest.frame()).await {
             return frame;
         }
         self.permit = None;
@@ -146,18 +144,18 @@
 
 impl Drop for Turn<'_> {
     fn drop(&mut self) {
-        self.note(u64::MAX);
+        self.record(u64::MAX);
     }
 }
 
-impl upload::Pace for Turn<'_> {
+impl upload::FrameReader for Turn<'_> {
     async fn next(
         &mut self,
-        rest: &mut received_body::Wire,
+        rest: &mut received_body::ReceivedBody,
     ) -> Option<Result<Frame<Bytes>, error::Broken>> {
         let frame = self.read(rest).await;
         if let Some(Ok(frame)) = &frame {
-            self.note(frame.data_ref().map_or(0, |data| data.len() as u64));
+            self.record(frame.data_ref().map_or(0, |data| data.len() as u64));
         }
         frame
     }
--- a/src/proxy/inbound_link/tests.rs
+++ b/src/proxy/inbound_link/tests.rs
@@ -9,7 +9,7 @@
 #[case::thin(5.0, 2048, 8)]
 #[case::middling(100.0, 31_250, 8)]
 #[case::wide(1000.0, 262_144, 9)]
-fn a_link_is_shared_by_what_it_carries_in_a_moment(
+fn window_and_turns_follow_from_the_rate_of_the_link(
     #[case] mbps: f64,
     #[case] window: u32,
     #[case] turns: usize,
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_link_of_unknown_rate_is_left_alone() {
+fn a_link_of_unknown_rate_has_no_bounds() {
     let settings = configs::proxy::Proxy::default();
     let plan = inbound_link::Plan::new(&settings);
     assert_eq!(plan.window, settings.stream_bytes);
@@ -27,28 +27,28 @@
 }
 
 #[test]
-fn bodies_on_their_way_are_counted_until_they_are_there_or_given_up() {
-    let inflow = inbound_link::Inflow::new(inbound_link::Plan { window: 4096, turns: 4 });
-    let mut first = inflow.turn(60_000);
-    let second = inflow.turn(40_000);
-    assert_eq!(inflow.ahead(), 100_000);
-    first.note(50_000);
-    assert_eq!(inflow.ahead(), 50_000);
-    first.note(50_000);
-    assert_eq!(inflow.ahead(), 40_000, "more than was announced");
+fn bytes_are_pending_until_they_are_received_or_the_body_is_dropped() {
+    let link = inbound_link::InboundLink::new(inbound_link::Plan { window: 4096, turns: 4 });
+    let mut first = link.turn(60_000);
+    let second = link.turn(40_000);
+    assert_eq!(link.pending_bytes(), 100_000);
+    first.record(50_000);
+    assert_eq!(link.pending_bytes(), 50_000);
+    first.record(50_000);
+    assert_eq!(link.pending_bytes(), 40_000, "more than was announced");
     drop(second);
     drop(first);
-    assert_eq!(inflow.ahead(), 0);
+    assert_eq!(link.pending_bytes(), 0);
 }
 
-/// Uploads that come in over one link of 6.5 Mbit/s, and short calls behind them, in virtual time.
+/// Simulates uploads over one link of 6.5 Mbit/s and short calls behind them, in virtual time.
 struct Link {
     plan: inbound_link::Plan,
-    /// Bytes that each upload has still to send.
+    /// Bytes that each upload has yet to send.
     rest: Vec<u64>,
-    /// What is under way: the upload and the bytes of each packet.
+    /// Packets in flight: the upload and the number of bytes of each.
     under_way: collections::VecDeque<(usize, u64)>,
-    /// Uploads that hold a turn, and those that wait for one, with the bytes that came before it.
+    /// Uploads that hold a turn, and those that wait for one, with the bytes received before it.
     turns: collections::BTreeSet<usize>,
     waiting: collections::VecDeque<(usize, u64)>,
     done: usize,
@@ -69,7 +69,7 @@
         self.send(self.rest.len() - 1, u64::from(self.plan.window));
     }
 
-    /// The sender of `upload` may send `bytes` more.
+    /// Lets the sender of `upload` send `bytes` more.
     fn send(&mut self, upload: usize, bytes: u64) {
         let bytes = bytes.min(self.rest[upload]);
         self.rest[upload] -= bytes;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Carries one packet and gives the time that took, in microseconds.
+    /// Carries one packet and returns the time that took, in microseconds.
     fn carry(&mut self) -> f64 {
         let Some((upload, bytes)) = self.under_way.pop_front() else { return 1000.0 };
         if self.turns.contains(&upload) || self.turns.len() < self.plan.turns {
@@ -96,15 +96,15 @@
         bytes as f64 * Self::BYTE_US
     }
 
-    /// Time that what comes now waits for the link, in milliseconds.
+    /// How long a packet that arrives now waits for the link, in milliseconds.
     fn delay_ms(&self) -> f64 {
         let bytes: u64 = self.under_way.iter().map(|(_, bytes)| bytes).sum();
         bytes as f64 * Self::BYTE_US / 1000.0
     }
 }
 
-/// Eleven uploads of 20 to 100 kB a second for a minute, in bursts of four; gives the 90th
-/// percentile of the delay of a short call, in milliseconds, and the uploads that came through.
+/// Runs eleven uploads of 20 to 100 kB a second for a minute, in bursts of four. Returns the 90th
+/// percentile of the delay of a short call, in milliseconds, and the number of completed uploads.
 fn short_calls(plan: inbound_link::Plan) -> (u64, usize) {
     let mut link = Link::new(plan);
     let (mut now, mut next, mut number) = (0.0, 0.0, 0);
@@ -115,7 +115,7 @@
             number += 4;
             next += 4e6 / 11.0;
         }
-        // One call comes each millisecond; the packet that is carried shortens its wait.
+        // One call arrives each millisecond; the packet that is being carried shortens its wait.
         let (wait, took) = (link.delay_ms() as u64, link.carry());
         delays.extend((0..(took / 1000.0) as u64 + 1).map(|ms| wait.saturating_sub(ms)));
         now += took;
--- a/src/proxy/internode.rs
+++ b/src/proxy/internode.rs
@@ -1,4 +1,4 @@
-//! Calls between nodes: how they are written to HTTP/2 and read from it.
+//! Calls between nodes: their encoding as HTTP/2 requests and answers.
 
 use http::header;
 use tokio::time;
@@ -16,19 +16,19 @@
 use crate::proxy::upload;
 use crate::retry;
 
-/// Authority of a call whose caller named no host.
+/// Authority of a call without a host.
 const NO_HOST: &str = "none.invalid";
 
-/// Connections tried when they close before anything is sent.
-const TRIES: u8 = 3;
+/// Maximum number of connections tried if they close before anything was sent.
+const MAX_CONNECTIONS: u8 = 3;
 
-/// An answer of another node.
+/// The answer of another node.
 #[derive(Debug)]
 pub struct Answer {
-    /// Load of its upstream.
+    /// Load of the node's upstream.
     pub load: Option<admit::Load>,
-    /// How long the upstream took.
-    pub ran: Option<call_spec::Ran>,
+    /// Run time at the upstream.
+    pub ran: Option<call_spec::RunTime>,
     /// The upstream's answer, or why there is none.
     pub result: Result<http::Response<hyper::body::Incoming>, refuse::Refusal>,
 }
@@ -39,11 +39,11 @@
     }
 }
 
-/// Turns the request of an attempt into one for another node.
-pub fn address(
+/// Turns the request of an attempt into a request to another node.
+pub fn wrap(
     request: &mut http::Request<upload::Upload>,
     host: Option<&http::uri::Authority>,
-    order: &call_spec::Order<'_>,
+    spec: &call_spec::CallSpec<'_>,
     now: clock::Instant,
 ) -> Result<(), refuse::Refusal> {
     const MALFORMED: refuse::Refusal = refuse::Refusal::not_run(retry::Reason::Malformed);
@@ -55,41 +55,41 @@
     *request.version_mut() = http::Version::HTTP_2;
     let map = request.headers_mut();
     let text = |t: &str| header::HeaderValue::from_str(t).map_err(|_| MALFORMED);
-    map.insert(headers::SERVICE, text(order.service)?);
-    if let Some(class) = order.class {
+    map.insert(headers::SERVICE, text(spec.service)?);
+    if let Some(class) = spec.class {
         map.insert(headers::CLASS, text(class)?);
     }
-    map.insert(headers::KIND, text(order.kind)?);
-    map.insert(headers::WEIGHT, header::HeaderValue::from(order.weight));
-    if order.inner {
+    map.insert(headers::KIND, text(spec.kind)?);
+    map.insert(headers::WEIGHT, header::HeaderValue::from(spec.weight));
+    if spec.nested {
         map.insert(headers::INNER, header::HeaderValue::from_static("1"));
     }
-    map.insert(headers::DEADLINE, left(order.deadline, now));
-    if order.target < order.deadline {
-        map.insert(headers::TARGET, left(order.target, now));
+    map.insert(headers::DEADLINE, remaining(spec.deadline, now));
+    if spec.target < spec.deadline {
+        map.insert(headers::TARGET, remaining(spec.target, now));
     }
     Ok(())
 }
 
-/// Milliseconds from `now` until `until`.
-fn left(until: clock::Instant, now: clock::Instant) -> header::HeaderValue {
+/// Milliseconds from `now` until `until`, as a header value.
+fn remaining(until: clock::Instant, now: clock::Instant) -> header::HeaderValue {
     let millis = u64::try_from(until.since(now).as_millis()).unwrap_or(u64::MAX);
-    let mut left = header::HeaderValue::from(millis);
-    // It is new each time: it would only push others out of the table of known headers.
-    left.set_sensitive(true);
-    left
+    let mut remaining = header::HeaderValue::from(millis);
+    // The value differs each time and would only evict other headers from the table of HPACK.
+    remaining.set_sensitive(true);
+    remaining
 }
 
-/// Sets the header that names the host to an upstream.
-pub fn name_host(request: &mut http::Request<upload::Upload>, host: Option<&http::uri::Authority>) {
+/// Sets the `Host` header of a request to an upstream.
+pub fn set_host(request: &mut http::Request<upload::Upload>, host: Option<&http::uri::Authority>) {
     let host = host.map_or("", http::uri::Authority::as_str);
     let value = header::HeaderValue::from_str(host);
-    // An authority has only characters that a header may have.
+    // All characters of an authority are allowed in a header.
     let value = value.unwrap_or(header::HeaderValue::from_static(""));
     request.headers_mut().insert(header::HOST, value);
 }
 
-/// The request for the upstream in a call of another node.
+/// Turns the request of another node into a request to the upstream.
 pub fn unwrap(
     mut parts: http::request::Parts,
     upload: upload::Upload,
@@ -111,18 +111,18 @@
     parts.uri = http::Uri::from(path);
     parts.version = http::Version::HTTP_11;
     let mut request = http::Request::from_parts(parts, upload);
-    name_host(&mut request, host.as_ref());
+    set_host(&mut request, host.as_ref());
     Ok(request)
 }
 
-/// Sends a call to the node of `host` and reads the head of its answer.
+/// Sends a call to the node on `host` and reads the head of its answer.
 pub async fn call(
     links: &links::Links,
     host: host::HostId,
     mut request: http::Request<upload::Upload>,
     end: time::Instant,
 ) -> Answer {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_CONNECTIONS {
         let link = time::timeout_at(end, links.get(host)).await;
         let mut link = match link {
             Err(_) => return refuse::Refusal::not_run(retry::Reason::TooLate).into(),
@@ -137,7 +137,7 @@
             Err(_) => return refuse::Refusal::unknown(retry::Reason::Timeout).into(),
             Ok(Ok(answer)) => return read(answer),
             Ok(Err(mut failed)) => match failed.take_message() {
-                // Nothing was sent: the connection closed in between.
+                // Nothing was sent, as the connection was closed in the meantime.
                 Some(unsent) => request = unsent,
                 None => return lost(host, failed.error()).into(),
             },
@@ -146,7 +146,7 @@
     refuse::Refusal::not_run(retry::Reason::Unreachable).into()
 }
 
-/// What is known of a call whose connection or stream failed.
+/// The refusal of a call whose connection or stream failed.
 fn lost(host: host::HostId, error: &hyper::Error) -> refuse::Refusal {
     log::debug!("call lost on the way to {host}: {error}");
     refuse::Refusal::unknown(retry::Reason::Cut)
@@ -156,7 +156,7 @@
     let map = answer.headers_mut();
     let load = map.remove(headers::LOAD).and_then(|v| v.to_str().ok()?.parse().ok());
     let ran = map.remove(headers::RAN_US).and_then(|v| v.to_str().ok()?.parse().ok());
-    let ran = ran.map(|micros| call_spec::Ran(time::Duration::from_micros(micros)));
+    let ran = ran.map(|micros| call_spec::RunTime(time::Duration::from_micros(micros)));
     let outcome = map.remove(headers::OUTCOME);
     let result = match outcome.as_ref().map(header::HeaderValue::as_bytes) {
         Some(o) if o == headers::RAN.as_bytes() => Ok(answer),
@@ -173,33 +173,33 @@
     let refusal =
         if proven { refuse::Refusal::not_run(reason) } else { refuse::Refusal::unknown(reason) };
     match request_head::number(map, headers::RETRY) {
-        Ok(Some(millis)) => refusal.again(time::Duration::from_millis(millis)),
+        Ok(Some(millis)) => refusal.retry_in(time::Duration::from_millis(millis)),
         Ok(None) | Err(_) => refusal,
     }
 }
 
-/// Path of requests for a held answer.
+/// Path prefix of requests for held answers.
 const HELD: &str = "/held/";
 
-/// The request for the answer of the call `name`.
-pub fn ask(
-    name: held_answers::Name,
-    print: held_answers::Print,
+/// The request for the held answer of the call `id`.
+pub fn held_answer_request(
+    id: held_answers::CallId,
+    request_hash: held_answers::RequestHash,
     deadline: clock::Instant,
     now: clock::Instant,
 ) -> Option<http::Request<upload::Upload>> {
-    let key = u128::from_le_bytes(name.key.0);
-    let uri = format!("http://{NO_HOST}{HELD}{key:032x}/{:016x}/{print}", name.number);
-    let left = left(deadline, now);
-    let request = http::Request::builder().uri(uri).header(headers::DEADLINE, left);
-    request.body(upload::Upload::Kept(None)).ok()
+    let key = u128::from_le_bytes(id.key.0);
+    let uri = format!("http://{NO_HOST}{HELD}{key:032x}/{:016x}/{request_hash}", id.number);
+    let remaining = remaining(deadline, now);
+    let request = http::Request::builder().uri(uri).header(headers::DEADLINE, remaining);
+    request.body(upload::Upload::Buffered(None)).ok()
 }
 
-/// The call that a request made by [`ask()`] is about.
-pub fn asked(path: &str) -> Option<(held_answers::Name, held_answers::Print)> {
+/// Parses the path of a request made by [`held_answer_request()`].
+pub fn parse_held_answer(path: &str) -> Option<(held_answers::CallId, held_answers::RequestHash)> {
     let mut parts = path.strip_prefix(HELD)?.splitn(3, '/');
     let key = u128::from_str_radix(parts.next()?, 16).ok()?;
     let number = u64::from_str_radix(parts.next()?, 16).ok()?;
-    let print = held_answers::Print::from_hex(parts.next()?).ok()?;
-    Some((held_answers::Name { key: claim::Key(key.to_le_bytes()), number }, print))
+    let request_hash = held_answers::RequestHash::from_hex(parts.next()?).ok()?;
+    Some((held_answers::CallId { key: claim::Key(key.to_le_bytes()), number }, request_hash))
 }
--- a/src/proxy/links.rs
+++ b/src/proxy/links.rs
@@ -1,4 +1,4 @@
-//! Connections to other nodes (HTTP/2): one for each, opened when first needed and shared by all
+//! HTTP/2 connections to other nodes: one for each node, opened when first needed and shared by all
 //! calls to that node.
 
 use std::cell::{Cell, RefCell};
@@ -24,17 +24,17 @@
 use crate::seal;
 use crate::socket;
 
-/// Path of the first request on each connection.
+/// Path prefix of the greeting, the first request on each connection.
 const HELLO: &str = "/hello";
 
 /// Time after which an unused connection is closed.
-const IDLE: time::Duration = time::Duration::from_secs(60);
+const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
-/// Spawns the library's tasks on the thread of the call path.
+/// Spawns hyper's tasks on the thread of the call path.
 #[derive(Clone, Copy, Debug)]
-pub struct Here;
+pub struct LocalExecutor;
 
-impl<F> hyper::rt::Executor<F> for Here
+impl<F> hyper::rt::Executor<F> for LocalExecutor
 where
     F: future::Future + 'static,
     F::Output: 'static,
@@ -44,36 +44,36 @@
     }
 }
 
-/// Sends calls on one connection.
+/// Sends calls on a connection.
 pub type Sender = http2::SendRequest<upload::Upload>;
 
 /// Why there is no connection to a node.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No connection can be made.
-    #[error("can't connect")]
+    /// The connection can't be opened.
+    #[error("can't connect to the node")]
     Connect(#[from] io::Error),
-    /// The library gave up.
-    #[error("the connection failed")]
-    Lost(#[from] hyper::Error),
-    /// It took too long.
-    #[error("no connection in time")]
-    Late(#[from] tokio::time::error::Elapsed),
-    /// The node did not take this one for a node of its mesh.
+    /// The HTTP/2 connection failed.
+    #[error("the connection failed during the greeting")]
+    Http(#[from] hyper::Error),
+    /// Connecting took longer than the settings allow.
+    #[error("the connection was not established in time")]
+    Timeout(#[from] tokio::time::error::Elapsed),
+    /// The node did not accept the greeting.
     #[error("the node answered the greeting with {0}")]
-    Stranger(http::StatusCode),
-    /// The greeting could not be written.
-    #[error("the greeting is no request")]
+    Rejected(http::StatusCode),
+    /// The greeting could not be built.
+    #[error("can't build the greeting")]
     Greeting(#[from] http::Error),
 }
 
-/// The connections.
+/// The connections to other nodes.
 pub struct Links {
     me: host::HostId,
     seal: seal::Seal,
     settings: Arc<configs::Node>,
     open: RefCell<collections::HashMap<host::HostId, Link>>,
-    /// Held while a connection is opened, so that only one is.
+    /// Locked while a connection is opened, so that only one is opened to each node.
     opening: RefCell<collections::HashMap<host::HostId, Rc<sync::Mutex<()>>>>,
 }
 
@@ -83,23 +83,23 @@
 }
 
 impl Links {
-    /// No connections yet, from `me` to others.
+    /// No connections yet; `me` is this host.
     pub fn new(me: host::HostId, seal: seal::Seal, settings: Arc<configs::Node>) -> Self {
         Self { me, seal, settings, open: RefCell::default(), opening: RefCell::default() }
     }
 
-    /// The connection to `host`.
+    /// The connection to `host`, which is opened if there is none.
     ///
     /// # Errors
     ///
-    /// Fails when there is none within the settings' limit; no call has been sent then.
+    /// The connection can't be opened within the time set by `connect_ms`. No call has been sent.
     pub async fn get(&self, host: host::HostId) -> Result<Sender, Error> {
-        if let Some(send) = self.known(host) {
+        if let Some(send) = self.existing(host) {
             return Ok(send);
         }
         let lock = Rc::clone(self.opening.borrow_mut().entry(host).or_default());
         let _opening = lock.lock().await;
-        if let Some(send) = self.known(host) {
+        if let Some(send) = self.existing(host) {
             return Ok(send);
         }
         let limit = time::Duration::from_millis(self.settings.proxy.connect_ms);
@@ -109,18 +109,18 @@
         Ok(send)
     }
 
-    /// Closes connections that are closed at the other end or have not been used for long.
-    pub fn tidy(&self) {
+    /// Drops connections that the other end has closed or that have been idle for too long.
+    pub fn close_idle(&self) {
         self.open
             .borrow_mut()
-            .retain(|_, link| !link.send.is_closed() && link.used.get().elapsed() < IDLE);
+            .retain(|_, link| !link.send.is_closed() && link.used.get().elapsed() < IDLE_TIMEOUT);
         let open = self.open.borrow();
         self.opening
             .borrow_mut()
             .retain(|host, lock| open.contains_key(host) || Rc::strong_count(lock) > 1);
     }
 
-    fn known(&self, host: host::HostId) -> Option<Sender> {
+    fn existing(&self, host: host::HostId) -> Option<Sender> {
         let open = self.open.borrow();
         let link = open.get(&host).filter(|l| !l.send.is_closed())?;
         link.used.set(time::Instant::now());
@@ -131,7 +131,7 @@
         let stream = TcpStream::connect(host.inner_addr()).await?;
         socket::tune(&stream)?;
         let proxy = &self.settings.proxy;
-        let (mut send, conn) = http2::Builder::new(Here)
+        let (mut send, conn) = http2::Builder::new(LocalExecutor)
             .timer(TokioTimer::new())
             .initial_stream_window_size(proxy.stream_bytes)
             .initial_connection_window_size(proxy.link_bytes)
@@ -146,7 +146,7 @@
         });
         let answer = send.send_request(self.greeting(host)?).await?;
         if answer.status() != http::StatusCode::OK {
-            return Err(Error::Stranger(answer.status()));
+            return Err(Error::Rejected(answer.status()));
         }
         Ok(send)
     }
@@ -160,27 +160,27 @@
             .path_and_query(path)
             .build()?;
         let request = http::Request::builder().uri(uri).header(headers::TAG, tag);
-        Ok(request.body(upload::Upload::Kept(None))?)
+        Ok(request.body(upload::Upload::Buffered(None))?)
     }
 }
 
 /// Whether `request` is a greeting from a node of the mesh to `me`.
 ///
-/// The tag covers both ends, so that a greeting seen at one node opens no other.
+/// The tag covers both nodes, so that a greeting can't be replayed to another node.
 pub fn is_greeting<B>(seal: &seal::Seal, me: host::HostId, request: &http::Request<B>) -> bool {
     let path = request.uri().path();
     let addressed = path.starts_with(HELLO) && path.ends_with(&format!("/{me}"));
     let wanted = header::HeaderValue::from_str(&tag(seal, path.as_bytes()));
-    // A tag is 64 bits of a keyed hash and the connection closes after one try: comparing in
-    // constant time would protect nothing.
+    // A comparison in constant time is not needed: the tag is 64 bits of a keyed hash, and the
+    // connection is closed after one wrong tag.
     addressed && wanted.is_ok_and(|w| request.headers().get(headers::TAG) == Some(&w))
 }
 
-/// The tag of `message` as text.
+/// The authentication tag of `message`, as hexadecimal digits.
 fn tag(seal: &seal::Seal, message: &[u8]) -> String {
     let sealed = seal.seal(message);
     sealed.iter().take(seal::TAG_BYTES).fold(String::new(), |mut text, byte| {
-        // Writing to a string does not fail.
+        // Writing to a string can't fail.
         let _ = write!(text, "{byte:02x}");
         text
     })
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,10 +1,11 @@
-//! The call path: hyper and tokio around the decisions.
+//! The call path: the sockets and tasks (hyper and tokio) around the decisions on calls.
 //!
-//! A call goes through a pipe of steps on one thread. At its entry, any node: accept, match route,
-//! check deadline ([`entry`]), claim ([`idempotency`]), pick and forward ([`call`], [`internode`]).
-//! At the upstream's own node ([`peer`]): admit ([`slots`]), run ([`pool`]), check the answer
-//! ([`owner`]). Back at the entry: answer and count ([`resources`]). When the entry is the
-//! upstream's own node the hop between nodes is skipped.
+//! All steps of a call run on one thread. Its entry node, which may be any node, accepts it,
+//! matches its route and checks its deadline ([`entry`]), claims its idempotency key
+//! ([`idempotency`]), picks an upstream and forwards the call ([`call`], [`internode`]). The owner
+//! node ([`peer`]) waits for a slot ([`slots`]), sends the call to the upstream ([`pool`]) and
+//! checks the answer ([`owner`]). The entry node then answers and counts the call ([`resources`]).
+//! When the entry node is also the owner node, nothing is sent between nodes.
 
 pub mod attempt;
 pub mod body;
--- a/src/proxy/owner.rs
+++ b/src/proxy/owner.rs
@@ -1,4 +1,4 @@
-//! The upstream's own node: admit a call, run it at the upstream, check its answer.
+//! The owner node: admits a call, runs it at the local upstream and checks the answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,209 +27,222 @@
 use crate::retry;
 use crate::view;
 
-/// Connections tried when they close before anything is sent.
-const TRIES: u8 = 3;
+/// Maximum number of connections tried if they close before anything was sent.
+const MAX_CONNECTIONS: u8 = 3;
 
-/// Largest shed answer that is read to keep its connection, in bytes.
-const SHED_BYTES: u64 = 4096;
+/// Maximum size of an answer that is read only to reuse its connection.
+const MAX_SHED_BYTES: u64 = 4096;
 
-/// The last of a call's time in which it is no longer admitted: one in this many.
-const MARGIN_SHARE: u32 = 20;
+/// A call is no longer admitted in the last part of its time: the time remaining on arrival divided
+/// by this, within the two bounds below.
+const MARGIN_DIVISOR: u32 = 20;
 
-/// Least of that time.
-const LEAST_MARGIN: Duration = Duration::from_millis(2);
+/// Minimum of that part.
+const MIN_MARGIN: Duration = Duration::from_millis(2);
 
-/// Most of that time.
-const MOST_MARGIN: Duration = Duration::from_millis(100);
+/// Maximum of that part.
+const MAX_MARGIN: Duration = Duration::from_millis(100);
 
-/// Runs a call at the upstream beside this node.
+/// Runs a call at the local upstream.
 ///
-/// `hold` gets the slot and the connection while the answer streams.
+/// A streamed answer takes the slot and the connection of `resources` along.
 ///
 /// # Errors
 ///
-/// The refusal says whether the call may have run.
+/// A refusal, which tells whether the call may have run.
 pub async fn run<C: claim::Claims>(
     state: &Rc<state::State<C>>,
-    order: &call_spec::Order<'_>,
+    spec: &call_spec::CallSpec<'_>,
     request: http::Request<upload::Upload>,
-    hold: &mut resources::Hold,
+    resources: &mut resources::Resources,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
-    let result = admit(state, order, request, hold).await;
+    let result = admit(state, spec, request, resources).await;
     if let Err(refuse::Refusal { outcome: retry::Outcome::Unknown(reason), .. }) = result {
-        hold.cut(reason);
+        resources.report_broken(reason);
     }
     if state.rollouts.has_orders()
-        && let Some(evidence) = state.evidence(order.kind, &result)
-        && let Ok(local) = find(state, order)
+        && let Some(observation) = state.observation(spec.kind, &result)
+        && let Ok(local) = find_upstream(state, spec)
     {
-        state.rollouts.note_own(&local.upstream, evidence);
+        state.rollouts.record_local(&local.upstream, observation);
     }
     result
 }
 
-/// The same without a look at what the answer says of the upstream's version.
+/// Like [`run`], without recording the result for roll-outs and crash detection.
 async fn admit<C: claim::Claims>(
     state: &Rc<state::State<C>>,
-    order: &call_spec::Order<'_>,
+    spec: &call_spec::CallSpec<'_>,
     mut request: http::Request<upload::Upload>,
-    hold: &mut resources::Hold,
+    resources: &mut resources::Resources,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
-    find(state, order)?;
-    let came = state.ctx.now();
-    let print = print(state, &request);
-    state.suspects.check_owner(print)?;
-    let slot = state.slots.enter(&wish(state, order)).await;
-    hold.slot = Some(slot.map_err(|refused| turn(state, order, request.headers(), refused))?);
-    // The upstream may have gone while the call waited, and a suspended host wakes late.
-    let local = find(state, order)?;
-    // Meanwhile others may have found out what ends their upstreams.
-    state.suspects.check_owner(print)?;
-    apart(state, print)?;
+    find_upstream(state, spec)?;
+    let arrived = state.ctx.now();
+    let fingerprint = fingerprint(state, &request);
+    state.quarantine.check_owner(fingerprint)?;
+    let slot = state.slots.enter(&slot_request(state, spec)).await;
+    resources.slot =
+        Some(slot.map_err(|refused| log_refusal(state, spec, request.headers(), refused))?);
+    // While the call waited, the upstream may have gone, or the host may have been suspended.
+    let local = find_upstream(state, spec)?;
+    // The request may have been quarantined while it waited.
+    state.quarantine.check_owner(fingerprint)?;
+    keep_suspects_apart(state, fingerprint)?;
     let began = state.ctx.now();
-    let left = order.deadline.since(began);
-    if left.as_millis() == 0 {
-        return Err(refuse::Refusal::not_run(retry::Reason::TooLate).again(state.pause()));
+    let remaining = spec.deadline.since(began);
+    if remaining.as_millis() == 0 {
+        return Err(refuse::Refusal::not_run(retry::Reason::TooLate).retry_in(state.retry_delay()));
     }
-    let end = state.timer(order.deadline);
+    let end = state.timer(spec.deadline);
     let method = request.method().clone();
     let id = request.headers().get(&state.dialect.id).cloned();
-    hold.run = Some(state.runs.enter(id.clone(), print));
-    address(&state.dialect, &local, left, request.headers_mut());
+    resources.run = Some(state.running.enter(id.clone(), fingerprint));
+    add_headers(&state.dialect, &local, remaining, request.headers_mut());
     let (lease, answer) = send(state, &local, request, end).await?;
     if state.dialect.is_not_run(answer.status(), answer.headers()) {
-        drain(answer, lease, end).await;
-        if let Some(slot) = hold.slot.take() {
+        drain_body(answer, lease, end).await;
+        if let Some(slot) = resources.slot.take() {
             slot.shed();
         }
-        // Without a time of its own the caller would wait a second for a slot that is free now.
+        // Without this delay, the caller would wait a second for a slot that is free now.
         let refusal = refuse::Refusal::not_run(retry::Reason::UpstreamShed);
-        return Err(refusal.again(state.slots.pause()));
+        return Err(refusal.retry_in(state.slots.retry_delay()));
     }
     check(&state.dialect, &method, id.as_ref(), &answer)?;
-    if let Some(run) = hold.run.as_mut() {
-        run.head(answer.status());
+    if let Some(run) = resources.run.as_mut() {
+        run.set_status(answer.status());
     }
     let (mut parts, incoming) = answer.into_parts();
     request_head::strip(&mut parts.headers);
     if method != http::Method::HEAD && parts.status != http::StatusCode::NOT_MODIFIED {
         parts.headers.remove(header::CONTENT_LENGTH);
     }
-    let ran = call_spec::Ran(state.ctx.now().since(began));
+    let ran = call_spec::RunTime(state.ctx.now().since(began));
     parts.extensions.insert(ran);
-    hold.lease = Some(lease);
-    state.compare(order.kind, parts.status, ran, hold);
-    hold.head(parts.status, Some(state.slots.load()));
-    let wire = received_body::Wire::new(incoming, received_body::Carrier::Plain);
-    let reply = body::Reply::read(wire, state.settings.proxy.whole_bytes, end, hold).await?;
+    resources.lease = Some(lease);
+    state.record_run_time(spec.kind, parts.status, ran, resources);
+    resources.record_head(parts.status, Some(state.slots.load()));
+    let received = received_body::ReceivedBody::new(incoming, received_body::Carrier::Http1);
+    let reply =
+        body::Reply::read(received, state.settings.proxy.whole_bytes, end, resources).await?;
     if let Some(id) = &id {
         let now = state.ctx.now();
         let ran = trace::Ran {
             id,
-            kind: order.kind,
-            waited: began.since(came),
+            kind: spec.kind,
+            waited: began.since(arrived),
             ran: now.since(began),
             load: state.slots.load(),
-            left: order.deadline.since(now),
+            remaining: spec.deadline.since(now),
         };
         state.trace.ran(&ran, now);
     }
     Ok(http::Response::from_parts(parts, reply))
 }
 
-/// Refuses a call that would find no room now, before its body is read.
+/// Refuses a call that would not be admitted now, before its body is read.
 ///
 /// # Errors
 ///
-/// What [`run`] would answer.
+/// The refusal that [`run`] would return.
 pub fn preview<C: claim::Claims>(
     state: &state::State<C>,
-    order: &call_spec::Order<'_>,
+    spec: &call_spec::CallSpec<'_>,
     headers: &header::HeaderMap,
 ) -> Result<(), refuse::Refusal> {
-    find(state, order)?;
-    let preview = state.slots.preview(&wish(state, order));
-    preview.map_err(|refused| turn(state, order, headers, refused))
+    find_upstream(state, spec)?;
+    let preview = state.slots.preview(&slot_request(state, spec));
+    preview.map_err(|refused| log_refusal(state, spec, headers, refused))
 }
 
-/// What a call asks of the gate.
-fn wish<'a, C: claim::Claims>(
+/// The request of a call for a slot.
+fn slot_request<'a, C: claim::Claims>(
     state: &state::State<C>,
-    order: &call_spec::Order<'a>,
-) -> slots::Wish<'a> {
-    slots::Wish {
-        kind: order.kind,
-        weight: order.weight,
-        inner: order.inner,
-        target: order.target,
-        deadline: latest(state.ctx.now(), order.deadline),
+    spec: &call_spec::CallSpec<'a>,
+) -> slots::Request<'a> {
+    slots::Request {
+        kind: spec.kind,
+        weight: spec.weight,
+        nested: spec.nested,
+        target: spec.target,
+        deadline: slot_deadline(state.ctx.now(), spec.deadline),
     }
 }
 
-/// Until when a call that came at `now` may wait for its slot: a little before its deadline, so
-/// that the word that it did not run comes back in time.
-pub fn latest(now: clock::Instant, deadline: clock::Instant) -> clock::Instant {
-    let left = deadline.since(now);
-    let margin = (left / MARGIN_SHARE).clamp(LEAST_MARGIN, MOST_MARGIN);
-    now + left.saturating_sub(margin)
+/// Until when a call that arrived at `now` may wait for a slot: somewhat before its deadline, so
+/// that the refusal reaches the caller in time.
+pub fn slot_deadline(now: clock::Instant, deadline: clock::Instant) -> clock::Instant {
+    let remaining = deadline.since(now);
+    let margin = (remaining / MARGIN_DIVISOR).clamp(MIN_MARGIN, MAX_MARGIN);
+    now + remaining.saturating_sub(margin)
 }
 
-/// The upstream beside this node, if it is the one that `order` wants and takes calls.
-fn find<C: claim::Claims>(
+/// The local upstream, if it matches `spec` and accepts calls.
+fn find_upstream<C: claim::Claims>(
     state: &state::State<C>,
-    order: &call_spec::Order<'_>,
+    spec: &call_spec::CallSpec<'_>,
 ) -> Result<node::Local, refuse::Refusal> {
-    // Another host may serve it: to the entry, an upstream that went or changed is a leaving one.
-    const GONE: refuse::Refusal = refuse::Refusal::not_run(retry::Reason::Draining);
+    // Another host may serve the call: the entry node treats an upstream that is gone or has
+    // changed like one that drains.
+    const NOT_HERE: refuse::Refusal = refuse::Refusal::not_run(retry::Reason::Draining);
     let local = state.local.borrow();
-    let local = local.as_ref().ok_or(GONE)?;
+    let local = local.as_ref().ok_or(NOT_HERE)?;
     let upstream = &local.upstream;
-    let wanted = upstream.service == order.service
-        && order.class.is_none_or(|class| upstream.class == class)
+    let wanted = upstream.service == spec.service
+        && spec.class.is_none_or(|class| upstream.class == class)
         && upstream.phase != view::Phase::Draining
-        && !state.draining();
-    if wanted { Ok((**local).clone()) } else { Err(GONE) }
+        && !state.is_draining();
+    if wanted { Ok((**local).clone()) } else { Err(NOT_HERE) }
 }
 
-/// Keeps requests that may end the upstream apart: where two of them ran at its end, nobody could tell
-/// which one it was.
-fn apart<C: claim::Claims>(
+/// Refuses a suspected request while another one runs: if the upstream crashed while both ran, it
+/// would be unknown which one caused the crash.
+fn keep_suspects_apart<C: claim::Claims>(
     state: &state::State<C>,
-    print: quarantine::Fingerprint,
+    fingerprint: quarantine::Fingerprint,
 ) -> Result<(), refuse::Refusal> {
-    let suspect = |print| state.suspects.is_suspect(print);
-    if suspect(print) && state.runs.has_other(print, suspect) {
-        return Err(refuse::Refusal::not_run(retry::Reason::Full).again(state.slots.pause()));
+    let suspect = |fingerprint| state.quarantine.is_suspected(fingerprint);
+    if suspect(fingerprint) && state.running.has_other(fingerprint, suspect) {
+        return Err(
+            refuse::Refusal::not_run(retry::Reason::Full).retry_in(state.slots.retry_delay())
+        );
     }
     Ok(())
 }
 
-/// The fingerprint of a request for the upstream.
-fn print<C: claim::Claims>(
+/// The fingerprint of a request to the upstream.
+fn fingerprint<C: claim::Claims>(
     state: &state::State<C>,
     request: &http::Request<upload::Upload>,
 ) -> quarantine::Fingerprint {
     let host = request.headers().get(header::HOST).and_then(|host| host.to_str().ok());
     let path = request.uri().path_and_query().map_or("", http::uri::PathAndQuery::as_str);
     let method = request.method().as_str();
-    state.printer.fingerprint(method, host.unwrap_or_default(), path, request.body().print())
+    state.fingerprinter.fingerprint(
+        method,
+        host.unwrap_or_default(),
+        path,
+        request.body().fingerprint_body(),
+    )
 }
 
-/// Sends a call on a connection from the pool. One that turns out to be closed before anything
-/// was sent is replaced by another.
+/// Sends a call on a connection from the pool. If the connection turns out to be closed before
+/// anything was sent, another one is used.
 async fn send<C: claim::Claims>(
     state: &state::State<C>,
     local: &node::Local,
     mut request: http::Request<upload::Upload>,
     end: time::Instant,
 ) -> Result<(pool::Lease, http::Response<hyper::body::Incoming>), refuse::Refusal> {
-    for _ in 0..TRIES {
-        // A host that is gone without a word never refuses a connection: the call would wait for
-        // one until its deadline, where another upstream could still serve it.
-        let soon = time::Instant::now() + Duration::from_millis(state.settings.proxy.connect_ms);
-        let lease = time::timeout_at(soon.min(end), state.pool.take(local.address)).await;
-        let late = if soon < end { retry::Reason::Unreachable } else { retry::Reason::TooLate };
-        let lease = lease.map_err(|_| refuse::Refusal::not_run(late))?;
+    for _ in 0..MAX_CONNECTIONS {
+        // If the upstream's host is gone, the connection attempt is not refused. It is bounded, so
+        // that another upstream can still serve the call before its deadline.
+        let connect_by =
+            time::Instant::now() + Duration::from_millis(state.settings.proxy.connect_ms);
+        let lease = time::timeout_at(connect_by.min(end), state.pool.acquire(local.address)).await;
+        let reason =
+            if connect_by < end { retry::Reason::Unreachable } else { retry::Reason::TooLate };
+        let lease = lease.map_err(|_| refuse::Refusal::not_run(reason))?;
         let mut lease = lease.map_err(|_| refuse::Refusal::not_run(retry::Reason::Unreachable))?;
         let answer = time::timeout_at(end, lease.send(request)).await;
         let answer = answer.map_err(|_| refuse::Refusal::unknown(retry::Reason::Timeout))?;
@@ -245,41 +258,42 @@
     Err(refuse::Refusal::not_run(retry::Reason::Unreachable))
 }
 
-/// Refuses a call that the gate did not let in, and logs what the gate held.
-fn turn<C: claim::Claims>(
+/// Logs a call that was not admitted, with the load at that time, and returns its refusal.
+fn log_refusal<C: claim::Claims>(
     state: &state::State<C>,
-    order: &call_spec::Order<'_>,
+    spec: &call_spec::CallSpec<'_>,
     headers: &header::HeaderMap,
     refused: slots::Refused,
 ) -> refuse::Refusal {
     let now = state.ctx.now();
-    let turned = trace::Turned {
+    let refused_call = trace::Refused {
         id: headers.get(&state.dialect.id),
-        service: order.service,
-        kind: order.kind,
-        inner: order.inner,
+        service: spec.service,
+        kind: spec.kind,
+        nested: spec.nested,
         reason: refused.reason,
         load: state.slots.load(),
-        target: order.target.since(now),
-        left: order.deadline.since(now),
-        after: refused.retry_after,
+        target: spec.target.since(now),
+        remaining: spec.deadline.since(now),
+        retry_after: refused.retry_after,
     };
-    state.trace.turned(&turned, now);
-    refuse::Refusal::not_run(refused.reason).again(refused.retry_after)
+    state.trace.refused(&refused_call, now);
+    refuse::Refusal::not_run(refused.reason).retry_in(refused.retry_after)
 }
 
-/// Writes the headers that only the upstream's own node can give.
-fn address(
+/// Sets the headers of a request that only the owner node knows: the time remaining and the
+/// instance.
+fn add_headers(
     dialect: &dialect::Dialect,
     local: &node::Local,
-    left: Duration,
+    remaining: Duration,
     map: &mut header::HeaderMap,
 ) {
     if !dialect.verbose {
         map.remove(headers::DEADLINE);
     }
-    let left = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-    map.insert(&dialect.remaining, header::HeaderValue::from(left));
+    let remaining = u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX);
+    map.insert(&dialect.remaining, header::HeaderValue::from(remaining));
     let Some(name) = &dialect.instance else { return };
     map.remove(name);
     if let Ok(instance) = header::HeaderValue::from_str(&local.instance) {
@@ -287,19 +301,21 @@
     }
 }
 
-/// Reads a shed answer to its end, so that the connection can be used again.
-async fn drain(
+/// Reads the answer of a shed call to its end, so that the connection can be reused.
+async fn drain_body(
     answer: http::Response<hyper::body::Incoming>,
     lease: pool::Lease,
     end: time::Instant,
 ) {
-    let mut hold = resources::Hold { lease: Some(lease), ..resources::Hold::default() };
-    let wire = received_body::Wire::new(answer.into_body(), received_body::Carrier::Plain);
-    // A body that is long or cut drops the connection, which is all that is wanted.
-    let _ = body::Reply::read(wire, SHED_BYTES, end, &mut hold).await;
+    let mut resources =
+        resources::Resources { lease: Some(lease), ..resources::Resources::default() };
+    let received =
+        received_body::ReceivedBody::new(answer.into_body(), received_body::Carrier::Http1);
+    // If the body is long or breaks off, the connection is closed, which is fine.
+    let _ = body::Reply::read(received, MAX_SHED_BYTES, end, &mut resources).await;
 }
 
-/// Whether `answer` belongs to this call and tells where it ends.
+/// Checks that `answer` belongs to this call and that its end is marked.
 fn check(
     dialect: &dialect::Dialect,
     method: &http::Method,
--- a/src/proxy/peer.rs
+++ b/src/proxy/peer.rs
@@ -1,4 +1,4 @@
-//! Requests of other nodes: calls for the upstream beside this one, and for held answers.
+//! Requests of other nodes: calls for the local upstream, and requests for held answers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -26,45 +26,46 @@
 use crate::proxy::upload;
 use crate::retry;
 
-/// A connection without a greeting of this mesh: it gets nothing and is closed.
+/// The peer did not send a valid greeting. Its connection is closed without an answer.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-#[error("the connection is not a node's of this mesh")]
-pub struct Stranger;
+#[error("the peer is not a node of this mesh")]
+pub struct Unauthenticated;
 
-/// Answers a request on a connection that `known` says was greeted on.
+/// Answers a request of another node. `authenticated` belongs to the connection and is set by its
+/// first request, the greeting.
 ///
 /// # Errors
 ///
-/// The first request is no greeting.
+/// The first request is not a valid greeting.
 pub async fn serve<C: claim::Claims>(
     state: Rc<state::State<C>>,
-    known: Rc<Cell<bool>>,
+    authenticated: Rc<Cell<bool>>,
     request: http::Request<Incoming>,
-) -> Result<http::Response<body::Reply>, Stranger> {
-    if !known.get() {
-        known.set(links::is_greeting(&state.seal, state.me, &request));
-        let empty = http::Response::new(body::Reply::whole(Bytes::new()));
-        return if known.get() { Ok(empty) } else { Err(Stranger) };
+) -> Result<http::Response<body::Reply>, Unauthenticated> {
+    if !authenticated.get() {
+        authenticated.set(links::is_greeting(&state.seal, state.me, &request));
+        let empty = http::Response::new(body::Reply::buffered(Bytes::new()));
+        return if authenticated.get() { Ok(empty) } else { Err(Unauthenticated) };
     }
     if request.headers().contains_key(headers::SERVICE) {
-        // The library moves the future of a stream about: a box is moved more cheaply.
+        // hyper moves the future of a stream several times; moving a box is cheaper.
         return Ok(Box::pin(call(&state, request)).await);
     }
-    Ok(held(&state, &request).await)
+    Ok(held_answer(&state, &request).await)
 }
 
 async fn call<C: claim::Claims>(
     state: &Rc<state::State<C>>,
     request: http::Request<Incoming>,
 ) -> http::Response<body::Reply> {
-    let flight = Some(state.flights.enter());
-    let hold = resources::Hold { flight, ..resources::Hold::default() };
-    let result = run(state, request, hold).await;
+    let in_flight = Some(state.in_flight.enter());
+    let resources = resources::Resources { in_flight, ..resources::Resources::default() };
+    let result = run(state, request, resources).await;
     let mut answer = match result {
-        Ok(answer) => ran(answer),
-        Err(refusal) => refused(&refusal),
+        Ok(answer) => mark_ran(answer),
+        Err(refusal) => refusal_answer(&refusal),
     };
-    if let Some(call_spec::Ran(ran)) = answer.extensions().get() {
+    if let Some(call_spec::RunTime(ran)) = answer.extensions().get() {
         let micros = u64::try_from(ran.as_micros()).unwrap_or(u64::MAX);
         let mut micros = header::HeaderValue::from(micros);
         micros.set_sensitive(true);
@@ -81,7 +82,7 @@
 async fn run<C: claim::Claims>(
     state: &Rc<state::State<C>>,
     request: http::Request<Incoming>,
-    mut hold: resources::Hold,
+    mut resources: resources::Resources,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
     const MALFORMED: refuse::Refusal = refuse::Refusal::not_run(retry::Reason::Malformed);
     let (parts, incoming) = request.into_parts();
@@ -90,72 +91,74 @@
     let class = text(headers::CLASS);
     let kind = text(headers::KIND).unwrap_or_default();
     let weight = request_head::number(&parts.headers, headers::WEIGHT)?.ok_or(MALFORMED)?;
-    let left = request_head::number(&parts.headers, headers::DEADLINE)?.ok_or(MALFORMED)?;
-    let target = request_head::number(&parts.headers, headers::TARGET)?.unwrap_or(left);
+    let remaining = request_head::number(&parts.headers, headers::DEADLINE)?.ok_or(MALFORMED)?;
+    let target = request_head::number(&parts.headers, headers::TARGET)?.unwrap_or(remaining);
     let now = state.ctx.now();
-    let order = call_spec::Order {
+    let spec = call_spec::CallSpec {
         service: &service,
         class: class.as_deref(),
         kind: &kind,
         weight: u32::try_from(weight).map_err(|_| MALFORMED)?,
-        inner: parts.headers.contains_key(headers::INNER),
+        nested: parts.headers.contains_key(headers::INNER),
         target: now + time::Duration::from_millis(target),
-        deadline: now + time::Duration::from_millis(left),
+        deadline: now + time::Duration::from_millis(remaining),
     };
-    let intake = intake(state, &order, &parts, incoming).await?;
-    let request = internode::unwrap(parts, intake.attempt())?;
-    owner::run(state, &order, request, &mut hold).await
+    let body = read_body(state, &spec, &parts, incoming).await?;
+    let request = internode::unwrap(parts, body.attempt())?;
+    owner::run(state, &spec, request, &mut resources).await
 }
 
-/// Takes in a body before its call asks for a slot, so that no slot waits for a link. A call that
-/// would be refused is refused before its body takes up the link.
-async fn intake<C: claim::Claims>(
+/// Reads the body of a call before the call asks for a slot, so that no slot is held while the link
+/// is slow. A call that would not be admitted is refused before its body takes up the link.
+async fn read_body<C: claim::Claims>(
     state: &Rc<state::State<C>>,
-    order: &call_spec::Order<'_>,
+    spec: &call_spec::CallSpec<'_>,
     parts: &http::request::Parts,
     incoming: Incoming,
-) -> Result<upload::Intake, refuse::Refusal> {
-    let wire = received_body::Wire::new(incoming, received_body::Carrier::Inner);
-    if !wire.is_end_stream() {
-        owner::preview(state, order, &parts.headers)?;
+) -> Result<upload::Body, refuse::Refusal> {
+    let received = received_body::ReceivedBody::new(incoming, received_body::Carrier::Http2);
+    if !received.is_end_stream() {
+        owner::preview(state, spec, &parts.headers)?;
     }
-    // The entry has checked the size against the kind.
+    // The entry node has checked the size against the limit of the kind.
     let bounds = state.bounds(u64::MAX);
-    let size = wire.size_hint();
-    let mut turn = state.inflow.turn(size.exact().unwrap_or(size.lower()));
-    let read = upload::Intake::read(wire, &bounds, &mut turn);
-    let end = state.timer(owner::latest(state.ctx.now(), order.deadline));
-    let late = refuse::Refusal::not_run(retry::Reason::TooLate).again(state.pause());
-    let intake = tokio::time::timeout_at(end, read).await.map_err(|_| late)?;
-    intake.map_err(refuse::Refusal::not_run)
+    let size = received.size_hint();
+    let mut turn = state.inbound_link.turn(size.exact().unwrap_or(size.lower()));
+    let read = upload::Body::read(received, &bounds, &mut turn);
+    let end = state.timer(owner::slot_deadline(state.ctx.now(), spec.deadline));
+    let late = refuse::Refusal::not_run(retry::Reason::TooLate).retry_in(state.retry_delay());
+    let body = tokio::time::timeout_at(end, read).await.map_err(|_| late)?;
+    body.map_err(refuse::Refusal::not_run)
 }
 
-/// The held answer of a call that came in here.
-async fn held<C: claim::Claims>(
+/// Returns the held answer of a call for which this node was the entry node.
+async fn held_answer<C: claim::Claims>(
     state: &state::State<C>,
     request: &http::Request<Incoming>,
 ) -> http::Response<body::Reply> {
-    let gone = refuse::Refusal::unknown(retry::Reason::Conflict);
-    let left =
+    let unknown = refuse::Refusal::unknown(retry::Reason::Conflict);
+    let remaining =
         request_head::number(request.headers(), headers::DEADLINE).ok().flatten().unwrap_or(0);
-    let Some((name, print)) = internode::asked(request.uri().path()) else { return refused(&gone) };
-    let find = state.held.find(name, print);
-    match tokio::time::timeout(time::Duration::from_millis(left), find).await {
-        Ok(held_answers::Found::Answer(answer)) => ran(answer.replay()),
-        Ok(held_answers::Found::Released) => {
-            refused(&refuse::Refusal::not_run(retry::Reason::Conflict))
+    let Some((id, request_hash)) = internode::parse_held_answer(request.uri().path()) else {
+        return refusal_answer(&unknown);
+    };
+    let find = state.held_answers.find(id, request_hash);
+    match tokio::time::timeout(time::Duration::from_millis(remaining), find).await {
+        Ok(held_answers::FirstCall::Answer(answer)) => mark_ran(answer.replay()),
+        Ok(held_answers::FirstCall::Released) => {
+            refusal_answer(&refuse::Refusal::not_run(retry::Reason::Conflict))
         }
-        Ok(held_answers::Found::Gone) | Err(_) => refused(&gone),
+        Ok(held_answers::FirstCall::Unknown) | Err(_) => refusal_answer(&unknown),
     }
 }
 
-fn ran(mut answer: http::Response<body::Reply>) -> http::Response<body::Reply> {
+fn mark_ran(mut answer: http::Response<body::Reply>) -> http::Response<body::Reply> {
     let ran = header::HeaderValue::from_static(headers::RAN);
     answer.headers_mut().insert(headers::OUTCOME, ran);
     answer
 }
 
-fn refused(refusal: &refuse::Refusal) -> http::Response<body::Reply> {
+fn refusal_answer(refusal: &refuse::Refusal) -> http::Response<body::Reply> {
     let mut answer = reply::answer(refusal, true);
     if let Some(after) = refusal.retry_after {
         let millis = u64::try_from(after.as_millis()).unwrap_or(u64::MAX);
--- a/src/proxy/pool.rs
+++ b/src/proxy/pool.rs
@@ -1,8 +1,9 @@
-//! Connections to the upstream beside this node (HTTP/1.1).
+//! HTTP/1.1 connections to the local upstream.
 //!
-//! A connection carries one call at a time and goes back to the pool only after a whole answer.
-//! The gate admits no more calls than the upstream takes connections; an idle connection is used
-//! before one is opened, so that the open ones never outnumber the calls that ran at once.
+//! A connection carries one call at a time and returns to the pool only after a complete answer.
+//! The number of calls admitted is bounded by the connections that the upstream accepts. Idle
+//! connections are reused first, so there are never more open connections than calls that ran
+//! concurrently.
 
 use std::cell::RefCell;
 use std::io;
@@ -18,20 +19,20 @@
 use crate::proxy::upload;
 use crate::socket;
 
-/// Largest head of an answer, in bytes.
-const HEAD_BYTES: usize = 65_536;
+/// Maximum size of the head of an answer.
+const MAX_HEAD_BYTES: usize = 65_536;
 
-/// Longest a connection may take to get ready for its next call.
-const SETTLE: time::Duration = time::Duration::from_millis(20);
+/// Maximum time to wait until an idle connection is ready for its next call.
+const READY_TIMEOUT: time::Duration = time::Duration::from_millis(20);
 
-/// The connections.
+/// The connections to the local upstream.
 #[derive(Debug)]
 pub struct Pool {
     idle: RefCell<Vec<Idle>>,
-    /// Tasks of the open connections, those in use among them.
+    /// Tasks of all open connections, including those in use.
     tasks: RefCell<Vec<task::AbortHandle>>,
-    /// Longest a connection stays idle.
-    limit: time::Duration,
+    /// Maximum time for which a connection stays idle.
+    max_idle: time::Duration,
 }
 
 #[derive(Debug)]
@@ -43,7 +44,7 @@
 #[derive(Debug)]
 struct Conn {
     send: http1::SendRequest<upload::Upload>,
-    /// The same socket, to look at what has arrived.
+    /// The same socket, to check for received bytes.
     probe: net::TcpStream,
     address: net::SocketAddr,
     task: task::AbortHandle,
@@ -55,8 +56,8 @@
     }
 }
 
-/// A connection in use by one call. Dropped, it is closed, which tells the upstream that the call
-/// was given up.
+/// A connection in use by a call. If this is dropped before [`Lease::release`], the connection is
+/// closed, which tells the upstream that the call was cancelled.
 #[derive(Debug)]
 pub struct Lease {
     conn: Option<Conn>,
@@ -64,19 +65,19 @@
 }
 
 impl Pool {
-    /// A pool that keeps a connection idle for at most `limit`.
-    pub const fn new(limit: time::Duration) -> Self {
-        Self { idle: RefCell::new(Vec::new()), tasks: RefCell::new(Vec::new()), limit }
+    /// A pool that keeps a connection idle for at most `max_idle`.
+    pub const fn new(max_idle: time::Duration) -> Self {
+        Self { idle: RefCell::new(Vec::new()), tasks: RefCell::new(Vec::new()), max_idle }
     }
 
     /// An idle connection to `address`, the most recently used one, or a new one.
     ///
     /// # Errors
     ///
-    /// Fails when no connection can be opened; nothing has been sent then.
-    pub async fn take(self: &Rc<Self>, address: net::SocketAddr) -> io::Result<Lease> {
+    /// No connection can be opened. Nothing has been sent.
+    pub async fn acquire(self: &Rc<Self>, address: net::SocketAddr) -> io::Result<Lease> {
         while let Some(mut conn) = self.pop() {
-            if conn.address == address && conn.settled().await && conn.is_quiet() {
+            if conn.address == address && conn.wait_ready().await && conn.has_no_input() {
                 return Ok(Lease { conn: Some(conn), pool: Rc::clone(self) });
             }
         }
@@ -85,45 +86,48 @@
         Ok(Lease { conn: Some(conn), pool: Rc::clone(self) })
     }
 
-    /// How many connections are idle.
+    /// Number of idle connections.
     pub fn idle(&self) -> usize {
         self.idle.borrow().len()
     }
 
     /// Closes the connections that have been idle for too long or don't lead to `address`.
-    pub fn tidy(&self, address: Option<net::SocketAddr>) {
-        let limit = self.limit;
+    pub fn close_idle(&self, address: Option<net::SocketAddr>) {
+        let max_idle = self.max_idle;
         self.tasks.borrow_mut().retain(|task| !task.is_finished());
         self.idle.borrow_mut().retain(|i| {
-            Some(i.conn.address) == address && i.since.elapsed() < limit && !i.conn.send.is_closed()
+            Some(i.conn.address) == address
+                && i.since.elapsed() < max_idle
+                && !i.conn.send.is_closed()
         });
     }
 
-    /// Ends every connection, those in use too: their other end has started anew and answers nothing
-    /// that it was sent before.
-    pub fn sever(&self) {
+    /// Closes all connections, including those in use: the upstream has restarted and will not
+    /// answer what was sent to its previous process.
+    pub fn close_all(&self) {
         self.idle.borrow_mut().clear();
         self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
     }
 
     fn pop(&self) -> Option<Conn> {
         let idle = self.idle.borrow_mut().pop()?;
-        (idle.since.elapsed() < self.limit).then_some(idle.conn)
+        (idle.since.elapsed() < self.max_idle).then_some(idle.conn)
     }
 }
 
 impl Conn {
-    /// Waits a moment for the library to be done with the call before.
-    async fn settled(&mut self) -> bool {
+    /// Waits until hyper has finished the previous call on this connection. `false` if it has not
+    /// within [`READY_TIMEOUT`].
+    async fn wait_ready(&mut self) -> bool {
         if self.send.is_ready() {
             return true;
         }
-        matches!(tokio::time::timeout(SETTLE, self.send.ready()).await, Ok(Ok(())))
+        matches!(tokio::time::timeout(READY_TIMEOUT, self.send.ready()).await, Ok(Ok(())))
     }
 
-    /// Whether the upstream has neither closed the connection nor sent anything unasked: a late
-    /// or doubled answer must not be taken for the next call's.
-    fn is_quiet(&self) -> bool {
+    /// Whether the upstream has neither closed the connection nor sent anything since the last
+    /// answer: a late or duplicate answer must not be taken for that of the next call.
+    fn has_no_input(&self) -> bool {
         let peeked = self.probe.peek(&mut [0]);
         peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
@@ -136,7 +140,7 @@
     let probe = stream.try_clone()?;
     let stream = TcpStream::from_std(stream)?;
     let (send, conn) = http1::Builder::new()
-        .max_header_size(HEAD_BYTES)
+        .max_header_size(MAX_HEAD_BYTES)
         .handshake(TokioIo::new(stream))
         .await
         .map_err(io::Error::other)?;
@@ -149,13 +153,14 @@
 }
 
 impl Drop for Lease {
-    /// A call that was given up takes back what its upstream has not read: an orderly close would
-    /// deliver it, seconds later where packets were lost, and the upstream would begin to run it.
+    /// Resets the connection of a cancelled call, so that bytes which the upstream has not read are
+    /// discarded. An orderly close would still deliver them, seconds later if packets were lost,
+    /// and the upstream would start to run the call.
     fn drop(&mut self) {
         let Some(conn) = &self.conn else { return };
         let socket = socket2::SockRef::from(&conn.probe);
         if let Err(error) = socket.set_linger(Some(time::Duration::ZERO)) {
-            log::debug!(error:% = error; "a connection to the upstream closes in order");
+            log::debug!(error:% = error; "can't reset the connection of a cancelled call");
         }
     }
 }
@@ -165,7 +170,7 @@
     ///
     /// # Errors
     ///
-    /// Gives the request back when nothing of it was sent.
+    /// The call got no answer. The error contains the request if nothing of it was sent.
     pub async fn send(
         &mut self,
         request: http::Request<upload::Upload>,
@@ -179,8 +184,8 @@
         })
     }
 
-    /// Puts the connection back after a whole answer.
-    pub fn finish(&mut self) {
+    /// Returns the connection to the pool after a complete answer.
+    pub fn release(&mut self) {
         let Some(conn) = self.conn.take() else { return };
         if !conn.send.is_closed() {
             let since = time::Instant::now();
@@ -192,8 +197,8 @@
 /// A call that got no answer.
 #[derive(Debug)]
 pub struct Failed {
-    /// What the library says.
+    /// The error of hyper; `None` if the connection had been released.
     pub error: Option<hyper::Error>,
-    /// The request, when nothing of it was sent.
+    /// The request, if nothing of it was sent.
     pub unsent: Option<Box<http::Request<upload::Upload>>>,
 }
