--- a/src/proxy/quarantine_filter.rs
+++ b/src/proxy/quarantine_filter.rs
@@ -1,4 +1,5 @@
-//! Requests under which upstreams end, as the calls of this node see them.
+//! The quarantine on the call path: refuses requests that crash upstreams, and reports crashes and
+//! answers of the local upstream.
 
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -9,102 +10,114 @@
 use crate::quarantine;
 use crate::retry;
 
-/// What this node's calls know of such requests, and tell of them.
+/// Refuses quarantined requests and reports what the calls of this node observe.
 #[derive(Debug)]
-pub struct Suspects {
+pub struct QuarantineFilter {
     ctx: context::Context,
     me: host::HostId,
     side: quarantine::CallSide,
-    known: RefCell<Arc<quarantine::Snapshot>>,
+    snapshot: RefCell<Arc<quarantine::Snapshot>>,
     proven: RefCell<quarantine::Proven>,
 }
 
-impl Suspects {
-    /// Knows of nothing; `side` leads to the membership duty of the host `me`.
+impl QuarantineFilter {
+    /// A filter that refuses nothing yet; `side` leads to the membership duty of the host `me`.
     pub fn new(ctx: context::Context, me: host::HostId, side: quarantine::CallSide) -> Self {
-        Self { ctx, me, side, known: RefCell::default(), proven: RefCell::default() }
+        Self { ctx, me, side, snapshot: RefCell::default(), proven: RefCell::default() }
     }
 
-    /// Takes in what the mesh knows; waits until that has changed. `false` when it won't any more.
-    pub async fn learn(&self) -> bool {
+    /// Applies the current state of the quarantine and waits for its next change. `false` when
+    /// there will be no further change.
+    pub async fn follow(&self) -> bool {
         let mut changes = self.side.snapshot.clone();
         changes.mark_unchanged();
-        self.take(&changes.borrow());
+        self.apply(&changes.borrow());
         changes.changed().await.is_ok()
     }
 
-    fn take(&self, known: &Arc<quarantine::Snapshot>) {
-        self.side.counts.held.set(i64::try_from(known.held()).unwrap_or(i64::MAX));
-        self.known.replace(Arc::clone(known));
+    fn apply(&self, snapshot: &Arc<quarantine::Snapshot>) {
+        self.side.counts.held.set(i64::try_from(snapshot.held()).unwrap_or(i64::MAX));
+        self.snapshot.replace(Arc::clone(snapshot));
     }
 
-    /// Refuses a request that ends upstreams before this node sends it anywhere. `print` is asked for
-    /// only where there is something to compare it with.
+    /// Checks a request at its entry node, before it is sent anywhere. `fingerprint` is called only
+    /// if something is quarantined.
     ///
     /// # Errors
     ///
-    /// Why, and for how much longer.
+    /// [`retry::Reason::Quarantined`], with the time after which the request may be retried.
     pub fn check_entry(
         &self,
-        print: impl FnOnce() -> quarantine::Fingerprint,
+        fingerprint: impl FnOnce() -> quarantine::Fingerprint,
     ) -> Result<(), refuse::Refusal> {
-        if self.known.borrow().entries.is_empty() {
+        if self.snapshot.borrow().entries.is_empty() {
             return Ok(());
         }
-        let print = print();
-        self.check(print, self.spread(print))
+        let fingerprint = fingerprint();
+        self.check(fingerprint, self.delay_share(fingerprint))
     }
 
-    /// Refuses a request that ends upstreams at the upstream's own node, as every host does at first.
+    /// Checks a request at the owner node, which applies no delay of its own to the term.
     ///
     /// # Errors
     ///
-    /// As [`Suspects::check_entry`].
-    pub fn check_owner(&self, print: quarantine::Fingerprint) -> Result<(), refuse::Refusal> {
-        self.check(print, 0.0)
+    /// As [`QuarantineFilter::check_entry`].
+    pub fn check_owner(&self, fingerprint: quarantine::Fingerprint) -> Result<(), refuse::Refusal> {
+        self.check(fingerprint, 0.0)
     }
 
-    fn check(&self, print: quarantine::Fingerprint, spread: f32) -> Result<(), refuse::Refusal> {
-        let Some(left) = self.known.borrow().remaining(print, spread, self.ctx.now()) else {
+    fn check(
+        &self,
+        fingerprint: quarantine::Fingerprint,
+        delay_share: f32,
+    ) -> Result<(), refuse::Refusal> {
+        let Some(remaining) =
+            self.snapshot.borrow().remaining(fingerprint, delay_share, self.ctx.now())
+        else {
             return Ok(());
         };
         self.side.counts.refused.inc();
-        Err(refuse::Refusal::not_run(retry::Reason::Quarantined).again(left))
+        Err(refuse::Refusal::not_run(retry::Reason::Quarantined).retry_in(remaining))
     }
 
-    /// How late this host lets `print` go, as a share of its term: another one at each host.
-    fn spread(&self, print: quarantine::Fingerprint) -> f32 {
+    /// By how much this host extends the term of `fingerprint`, as a share of the term. The share
+    /// differs by host, so that the hosts don't all let the request pass at the same time.
+    fn delay_share(&self, fingerprint: quarantine::Fingerprint) -> f32 {
         let mut hasher = blake3::Hasher::new();
-        hasher.update(&print.0.to_le_bytes());
+        hasher.update(&fingerprint.0.to_le_bytes());
         hasher.update(self.me.to_string().as_bytes());
         let mut first = [0; 2];
         first.copy_from_slice(&hasher.finalize().as_bytes()[..2]);
         f32::from(u16::from_le_bytes(first)) / f32::from(u16::MAX)
     }
 
-    /// Whether upstreams have ended under `print` so often that it may be what ends them. Two such
-    /// requests don't run beside each other, so that the next end tells them apart.
-    pub fn is_suspect(&self, print: quarantine::Fingerprint) -> bool {
-        self.known.borrow().crashes(print) >= quarantine::SUSPICION_THRESHOLD
+    /// Whether `fingerprint` is suspected: enough crashes to be isolated, not enough to be refused.
+    /// Two suspected requests don't run at the same time, so that the next crash tells them apart.
+    pub fn is_suspected(&self, fingerprint: quarantine::Fingerprint) -> bool {
+        self.snapshot.borrow().crashes(fingerprint) >= quarantine::SUSPICION_THRESHOLD
     }
 
-    /// The upstream beside this node answered `print` and lived on.
-    pub fn answered(&self, print: quarantine::Fingerprint) {
-        self.proven.borrow_mut().note(print, self.ctx.now());
-        if self.known.borrow().is_suspected(print) {
-            // A full ring drops it; the next answer says the same.
-            let _ = self.side.reports.offer(quarantine::Report::Answered(print));
+    /// Records that the local upstream answered `fingerprint` and did not crash.
+    pub fn answered(&self, fingerprint: quarantine::Fingerprint) {
+        self.proven.borrow_mut().note(fingerprint, self.ctx.now());
+        if self.snapshot.borrow().is_suspected(fingerprint) {
+            // If the ring is full, the report is dropped; the next answer repeats it.
+            let _ = self.side.reports.offer(quarantine::Report::Answered(fingerprint));
         }
     }
 
-    /// The upstream beside this node has ended under `prints`. Those that it answered a moment ago are
-    /// not to blame.
-    pub fn ended(&self, prints: &[quarantine::Fingerprint]) {
+    /// Reports that the local upstream crashed while `fingerprints` ran. Those that it has answered
+    /// shortly before are left out, as they did not cause the crash.
+    pub fn crashed(&self, fingerprints: &[quarantine::Fingerprint]) {
         self.side.counts.crashes.inc();
         let (proven, now) = (self.proven.borrow(), self.ctx.now());
-        let prints = prints.iter().copied().filter(|print| !proven.has(*print, now)).collect();
-        if self.side.reports.offer(quarantine::Report::Crashed(prints)).is_err() {
-            log::warn!("the end of an upstream is not told, since too many reports wait");
+        let fingerprints = fingerprints
+            .iter()
+            .copied()
+            .filter(|fingerprint| !proven.has(*fingerprint, now))
+            .collect();
+        if self.side.reports.offer(quarantine::Report::Crashed(fingerprints)).is_err() {
+            log::warn!("dropped the report of an upstream's crash: the queue of reports is full");
         }
     }
 }
--- a/src/proxy/received_body.rs
+++ b/src/proxy/received_body.rs
@@ -1,4 +1,4 @@
-//! A body as it comes off a connection, with its end checked.
+//! A body received on a connection, with a check of its end.
 
 use std::pin::Pin;
 use std::task;
@@ -11,30 +11,30 @@
 /// Which protocol carries a body.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Carrier {
-    /// HTTP/1.1: the library reports a body that ends early as an error.
-    Plain,
-    /// HTTP/2 between nodes: a reset without an error code ends a body like its real end does,
-    /// so the end mark is asked for.
-    Inner,
+    /// HTTP/1.1: hyper reports a body that ends early as an error.
+    Http1,
+    /// HTTP/2 between nodes: hyper does not tell a reset without an error code from the end of a
+    /// body, so the end-of-stream flag is checked.
+    Http2,
 }
 
-/// A body off a connection.
+/// A body received on a connection.
 ///
 /// Invariant: it ends without an error only if the peer marked its end.
 #[derive(Debug)]
-pub struct Wire {
+pub struct ReceivedBody {
     body: Incoming,
     carrier: Carrier,
 }
 
-impl Wire {
-    /// The body that `carrier` brings.
+impl ReceivedBody {
+    /// A body received by `carrier`.
     pub const fn new(body: Incoming, carrier: Carrier) -> Self {
         Self { body, carrier }
     }
 }
 
-impl Body for Wire {
+impl Body for ReceivedBody {
     type Data = Bytes;
     type Error = error::Broken;
 
@@ -45,7 +45,7 @@
         let frame = task::ready!(Pin::new(&mut self.body).poll_frame(cx));
         task::Poll::Ready(match frame {
             Some(frame) => Some(frame.map_err(error::Broken::Cut)),
-            None if self.carrier == Carrier::Inner && !self.body.is_end_stream() => {
+            None if self.carrier == Carrier::Http2 && !self.body.is_end_stream() => {
                 Some(Err(error::Broken::Reset))
             }
             None => None,
--- a/src/proxy/refuse.rs
+++ b/src/proxy/refuse.rs
@@ -1,28 +1,28 @@
-//! Why a call has no answer of its upstream.
+//! Refusals: the results of calls without an answer of their upstream.
 
 use std::time;
 
 use crate::proxy::headers;
 use crate::retry;
 
-/// A call without an answer of its upstream.
+/// Why a call has no answer of its upstream, and what its caller gets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
     /// Never [`retry::Outcome::Ran`].
     pub outcome: retry::Outcome,
-    /// When another try may be worth it; `None` when it never is.
+    /// Delay after which a retry may succeed; `None` if no delay can be given.
     pub retry_after: Option<time::Duration>,
-    /// Status of the answer.
+    /// Status of the answer to the caller.
     pub status: http::StatusCode,
 }
 
 impl Refusal {
-    /// A call proven not to have run.
+    /// The refusal of a call that is proven not to have run.
     pub const fn not_run(reason: retry::Reason) -> Self {
         Self::new(retry::Outcome::NotRun(reason), None)
     }
 
-    /// A call that may have run.
+    /// The refusal of a call that may have run.
     pub const fn unknown(reason: retry::Reason) -> Self {
         Self::new(retry::Outcome::Unknown(reason), None)
     }
@@ -32,8 +32,8 @@
         Self { outcome, retry_after, status: status(outcome) }
     }
 
-    /// The same with a time after which another try may be worth it.
-    pub const fn again(mut self, after: time::Duration) -> Self {
+    /// Sets the delay after which a retry may succeed.
+    pub const fn retry_in(mut self, after: time::Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
--- a/src/proxy/reply.rs
+++ b/src/proxy/reply.rs
@@ -1,4 +1,4 @@
-//! The answer to a call that has none of its upstream.
+//! The answer to the caller of a call that its upstream did not answer.
 
 use std::time;
 
@@ -10,10 +10,12 @@
 use crate::proxy::refuse;
 use crate::retry;
 
-/// The answer that tells `refusal`, with the reason's name as its body.
+/// The answer for `refusal`, with the name of its reason as the body. `verbose` adds the project's
+/// own headers and rounds `Retry-After` to whole seconds.
 pub fn answer(refusal: &refuse::Refusal, verbose: bool) -> http::Response<body::Reply> {
     let reason = refusal.outcome.reason().map_or("", retry::Reason::as_str);
-    let mut answer = http::Response::new(body::Reply::whole(Bytes::from_static(reason.as_bytes())));
+    let mut answer =
+        http::Response::new(body::Reply::buffered(Bytes::from_static(reason.as_bytes())));
     *answer.status_mut() = refusal.status;
     let map = answer.headers_mut();
     if verbose {
@@ -30,12 +32,12 @@
     answer
 }
 
-/// Whole seconds, rounded up, at least one: the unit of `Retry-After`.
+/// Whole seconds, rounded up, at least 1, as the standard requires for `Retry-After`.
 fn seconds(after: time::Duration) -> u64 {
     (after.as_secs() + u64::from(after.subsec_nanos() > 0)).max(1)
 }
 
-/// Seconds with their fraction, for callers that read it.
+/// Seconds with a fraction, for callers that support it.
 fn fraction(after: time::Duration) -> Option<header::HeaderValue> {
     header::HeaderValue::from_str(&format!("{:.3}", after.as_secs_f64())).ok()
 }
--- a/src/proxy/request_head.rs
+++ b/src/proxy/request_head.rs
@@ -1,4 +1,4 @@
-//! The head of a caller's request, read and checked.
+//! Parses and checks the head of a caller's request.
 
 use std::time;
 
@@ -9,7 +9,7 @@
 use crate::proxy::refuse;
 use crate::retry;
 
-/// Headers that concern one connection only, beside those that `Connection` names.
+/// Hop-by-hop headers, besides those listed in `Connection`.
 const HOP_BY_HOP: [header::HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -24,39 +24,39 @@
 const KEEP_ALIVE: &str = "keep-alive";
 const PROXY_CONNECTION: &str = "proxy-connection";
 
-/// What a caller asks for.
+/// The head of a caller's request.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct RequestHead {
     /// Method.
     pub method: http::Method,
     /// Path with query.
     pub path: http::uri::PathAndQuery,
-    /// Host that the caller named, with its port.
+    /// The requested host, with its port.
     pub host: Option<http::uri::Authority>,
-    /// Headers that go to the upstream.
+    /// Headers that are sent to the upstream.
     pub headers: header::HeaderMap,
-    /// Time until the caller gives up, if it named one.
-    pub left: Option<time::Duration>,
-    /// How many calls of the mesh led to this one.
+    /// Time remaining until the caller gives up; `None` if it sent none.
+    pub remaining: Option<time::Duration>,
+    /// Number of calls of the mesh that led to this one.
     pub depth: u8,
-    /// Attempt number of the call that led to this one, 1 when none did.
-    pub outer: u8,
-    /// The caller's idempotency key.
-    pub key: Option<header::HeaderValue>,
-    /// Identity of the call.
+    /// Attempt number of the call that led to this one; 1 if there is none.
+    pub outer_attempt: u8,
+    /// The idempotency key, if the caller sent one.
+    pub idempotency_key: Option<header::HeaderValue>,
+    /// The request id.
     pub id: header::HeaderValue,
 }
 
-impl Ask {
-    /// Reads a head; `id` makes an identity when the caller sent none.
+impl RequestHead {
+    /// Parses a head; `id` makes a request id if the caller sent none.
     ///
     /// # Errors
     ///
-    /// [`retry::Reason::Malformed`] when the head makes no sense or could be read in two ways,
-    /// [`retry::Reason::TooLarge`] when its path is longer than `most` bytes.
+    /// [`retry::Reason::Malformed`] if the head is invalid or ambiguous,
+    /// [`retry::Reason::TooLarge`] if its path is longer than `max_path` bytes.
     pub fn read(
         mut parts: http::request::Parts,
-        most: usize,
+        max_path: usize,
         dialect: &dialect::Dialect,
         id: impl FnOnce() -> header::HeaderValue,
     ) -> Result<Self, refuse::Refusal> {
@@ -70,32 +70,42 @@
         if parts.method == http::Method::CONNECT {
             return Err(MALFORMED);
         }
-        if path.as_str().len() > most {
+        if path.as_str().len() > max_path {
             return Err(TOO_LONG);
         }
         let host = host(&parts.uri, map, parts.version).ok_or(MALFORMED)?;
-        let left = number(map, dialect.remaining.as_str())?.map(time::Duration::from_millis);
-        let depth = small(number(map, headers::DEPTH)?.unwrap_or(0));
-        let outer = small(number(map, headers::ATTEMPT)?.unwrap_or(1));
-        let key = single(map, headers::IDEMPOTENCY_KEY).ok_or(MALFORMED)?;
-        let known = single(map, dialect.id.as_str()).ok_or(MALFORMED)?;
+        let remaining = number(map, dialect.remaining.as_str())?.map(time::Duration::from_millis);
+        let depth = saturating_u8(number(map, headers::DEPTH)?.unwrap_or(0));
+        let outer_attempt = saturating_u8(number(map, headers::ATTEMPT)?.unwrap_or(1));
+        let idempotency_key = single(map, headers::IDEMPOTENCY_KEY).ok_or(MALFORMED)?;
+        let sent_id = single(map, dialect.id.as_str()).ok_or(MALFORMED)?;
         strip(map);
         map.remove(&dialect.remaining);
         map.remove(header::HOST);
         map.remove(header::CONTENT_LENGTH);
-        let mut id = known.unwrap_or_else(id);
-        // Each call has its own: it would only push others out of the tables of HTTP/2.
+        let mut id = sent_id.unwrap_or_else(id);
+        // Each call has its own id, which would only evict other headers from the tables of HPACK.
         id.set_sensitive(true);
         map.insert(&dialect.id, id.clone());
         let headers = parts.headers;
-        Ok(Self { method: parts.method, path, host, headers, left, depth, outer, key, id })
+        Ok(Self {
+            method: parts.method,
+            path,
+            host,
+            headers,
+            remaining,
+            depth,
+            outer_attempt,
+            idempotency_key,
+            id,
+        })
     }
 }
 
-/// Removes what concerns one connection only, and what only nodes may say.
+/// Removes the hop-by-hop headers, and those that only nodes may send.
 pub fn strip(map: &mut header::HeaderMap) {
     if map.contains_key(header::CONNECTION) {
-        for name in named(map) {
+        for name in connection_headers(map) {
             map.remove(name);
         }
     }
@@ -110,13 +120,13 @@
     }
 }
 
-/// The headers that `Connection` names.
-fn named(map: &header::HeaderMap) -> Vec<header::HeaderName> {
+/// The headers listed in `Connection`.
+fn connection_headers(map: &header::HeaderMap) -> Vec<header::HeaderName> {
     let values = map.get_all(header::CONNECTION).iter().filter_map(|v| v.to_str().ok());
     values.flat_map(|v| v.split(',')).filter_map(|n| n.trim().parse().ok()).collect()
 }
 
-/// The one host that the request names; `None` when it names two, or none where it must.
+/// The requested host. The outer `None` marks an invalid request: two hosts, or none in HTTP/1.1.
 fn host(
     uri: &http::Uri,
     map: &header::HeaderMap,
@@ -132,25 +142,25 @@
     }
 }
 
-/// The value of a header that may stand once: the outer `None` says that it stands twice.
+/// The value of a header that may occur only once; the outer `None` means that it is repeated.
 fn single(map: &header::HeaderMap, name: &str) -> Option<Option<header::HeaderValue>> {
     let mut values = map.get_all(name).iter();
     let first = values.next().cloned();
     if values.next().is_some() { None } else { Some(first) }
 }
 
-/// The number in a header.
+/// The number in a header; `None` if the header is absent.
 ///
 /// # Errors
 ///
-/// [`retry::Reason::Malformed`] when it is no number.
+/// [`retry::Reason::Malformed`] if the value is not a number.
 pub fn number(map: &header::HeaderMap, name: &str) -> Result<Option<u64>, refuse::Refusal> {
     let Some(value) = map.get(name) else { return Ok(None) };
     let number = value.to_str().ok().and_then(|v| v.parse().ok());
     number.map(Some).ok_or(refuse::Refusal::not_run(retry::Reason::Malformed))
 }
 
-/// `number`, or the largest byte.
-fn small(number: u64) -> u8 {
+/// `number`, or [`u8::MAX`] if it is larger.
+fn saturating_u8(number: u64) -> u8 {
     u8::try_from(number).unwrap_or(u8::MAX)
 }
--- a/src/proxy/resources.rs
+++ b/src/proxy/resources.rs
@@ -1,5 +1,5 @@
-//! What a call holds until its answer has ended: its place among the calls in flight, its slot
-//! and connection at the upstream, its attempt and its count.
+//! The resources that a call holds until its answer has ended: its entry in the calls in flight,
+//! its slot and connection at the upstream, its attempt and its usage count.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,141 +18,142 @@
 
 /// Counts the calls in flight.
 #[derive(Debug, Default)]
-pub struct Flights {
+pub struct CallCounter {
     count: Cell<usize>,
     idle: sync::Notify,
 }
 
-/// One call in flight.
+/// A call in flight, counted until this is dropped.
 #[derive(Debug)]
-pub struct Flight(Rc<Flights>);
+pub struct CountedCall(Rc<CallCounter>);
 
-impl Flights {
-    /// Counts one more call until the returned value is dropped.
-    pub fn enter(self: &Rc<Self>) -> Flight {
+impl CallCounter {
+    /// Counts a call until the returned value is dropped.
+    pub fn enter(self: &Rc<Self>) -> CountedCall {
         self.count.set(self.count.get() + 1);
-        Flight(Rc::clone(self))
+        CountedCall(Rc::clone(self))
     }
 
-    /// How many calls are in flight.
+    /// Number of calls in flight.
     pub fn count(&self) -> usize {
         self.count.get()
     }
 
     /// Waits until no call is in flight.
-    pub async fn idle(&self) {
+    pub async fn wait_idle(&self) {
         while self.count.get() > 0 {
             self.idle.notified().await;
         }
     }
 }
 
-impl Drop for Flight {
+impl Drop for CountedCall {
     fn drop(&mut self) {
-        let left = self.0.count.get().saturating_sub(1);
-        self.0.count.set(left);
-        if left == 0 {
+        let remaining = self.0.count.get().saturating_sub(1);
+        self.0.count.set(remaining);
+        if remaining == 0 {
             self.0.idle.notify_one();
         }
     }
 }
 
-/// What a call holds. Dropped early, the upstream's connection is closed and the slot is free.
+/// The resources of a call. If they are dropped before the answer has ended, the connection to the
+/// upstream is closed and the slot is freed.
 #[derive(Debug, Default)]
-pub struct Hold {
-    /// At the upstream's node: the connection.
+pub struct Resources {
+    /// At the owner node: the connection to the upstream.
     pub lease: Option<pool::Lease>,
-    /// At the upstream's node: the slot.
+    /// At the owner node: the slot.
     pub slot: Option<slots::Slot>,
-    /// At the upstream's node: the call's place among those that run.
-    pub run: Option<running_calls::Running>,
-    /// At the entry: the attempt.
-    pub trip: Option<attempt::Trip>,
-    /// At the entry: the count.
+    /// At the owner node: the entry in the running calls.
+    pub run: Option<running_calls::RunningCall>,
+    /// At the entry node: the attempt.
+    pub attempt: Option<attempt::Attempt>,
+    /// At the entry node: the usage count.
     pub count: Option<count::Pending>,
-    /// The place among the calls in flight.
-    pub flight: Option<Flight>,
+    /// The entry in the calls in flight.
+    pub in_flight: Option<CountedCall>,
 }
 
-impl Hold {
-    /// The answer came to its end.
-    pub fn whole(&mut self) {
+impl Resources {
+    /// Releases everything after the answer was read to its end.
+    pub fn complete(&mut self) {
         if let Some(run) = self.run.take() {
-            run.whole();
+            run.complete();
         }
         if let Some(mut lease) = self.lease.take() {
-            lease.finish();
+            lease.release();
         }
         if let Some(slot) = self.slot.take() {
             slot.end();
         }
-        if let Some(trip) = self.trip.take() {
-            trip.end(retry::Event::End);
+        if let Some(attempt) = self.attempt.take() {
+            attempt.end(retry::Event::End);
         }
         if let Some(count) = self.count.take() {
             count.served();
         }
-        self.flight = None;
+        self.in_flight = None;
     }
 
-    /// An attempt at the upstream of `choice` begins.
-    pub fn start(
+    /// Starts an attempt at the upstream of `choice`.
+    pub fn start_attempt(
         &mut self,
         ctx: context::Context,
         picker: &Rc<RefCell<pick::Picker>>,
         choice: pick::Choice,
     ) {
-        let mut trip = attempt::Trip::start(ctx, Rc::clone(picker), choice);
-        trip.note(retry::Event::Sending);
-        self.trip = Some(trip);
+        let mut attempt = attempt::Attempt::start(ctx, Rc::clone(picker), choice);
+        attempt.handle(retry::Event::Sending);
+        self.attempt = Some(attempt);
     }
 
-    /// The head of the upstream's answer came.
-    pub fn head(&mut self, status: http::StatusCode, load: Option<admit::Load>) {
-        if let Some(trip) = self.trip.as_mut() {
-            trip.note(retry::Event::Head);
-            trip.load(load);
+    /// Records the head of the upstream's answer.
+    pub fn record_head(&mut self, status: http::StatusCode, load: Option<admit::Load>) {
+        if let Some(attempt) = self.attempt.as_mut() {
+            attempt.handle(retry::Event::Head);
+            attempt.set_load(load);
         }
         if let Some(count) = self.count.as_mut() {
-            count.status(status);
+            count.set_status(status);
         }
     }
 
-    /// The attempt ended without an answer; the call may get another one.
-    pub fn failed(&mut self, outcome: retry::Outcome) -> retry::Outcome {
+    /// Ends an attempt that got no answer; another one may follow. Returns the attempt's outcome.
+    pub fn fail_attempt(&mut self, outcome: retry::Outcome) -> retry::Outcome {
         self.free();
-        let Some(trip) = self.trip.take() else { return outcome };
+        let Some(attempt) = self.attempt.take() else { return outcome };
         match outcome {
             retry::Outcome::Ran => outcome,
-            retry::Outcome::NotRun(reason) => trip.end(retry::Event::Refused(reason)),
-            retry::Outcome::Unknown(reason) => trip.end(retry::Event::Doubtful(reason)),
+            retry::Outcome::NotRun(reason) => attempt.end(retry::Event::Refused(reason)),
+            retry::Outcome::Unknown(reason) => attempt.end(retry::Event::Doubtful(reason)),
         }
     }
 
-    /// The call failed for `reason`; says so where that may be the end of the upstream.
-    pub fn cut(&self, reason: retry::Reason) {
+    /// Reports a call that failed for `reason`, if a crash of the upstream may be the cause.
+    pub fn report_broken(&self, reason: retry::Reason) {
         if let Some(run) = self.run.as_ref().filter(|_| reason == retry::Reason::Cut) {
-            run.cut();
+            run.break_off();
         }
     }
 
-    /// Gives back what the call held of the upstream.
+    /// Releases the resources of the upstream.
     fn free(&mut self) {
         self.run = None;
         self.lease = None;
         self.slot = None;
     }
 
-    /// The answer was cut short.
-    pub fn broken(&mut self, reason: retry::Reason) {
-        self.cut(reason);
+    /// Releases everything after the answer broke off for `reason`.
+    pub fn abort(&mut self, reason: retry::Reason) {
+        self.report_broken(reason);
         self.free();
-        if let Some(trip) = self.trip.take() {
-            trip.end(retry::Event::Failed(reason));
+        if let Some(attempt) = self.attempt.take() {
+            attempt.end(retry::Event::Failed(reason));
         }
         if let Some(count) = self.count.take() {
             count.ended(retry::Outcome::Unknown(reason));
         }
-        self.flight = None;
+        self.in_flight = None;
     }
 }
--- a/src/proxy/run_times.rs
+++ b/src/proxy/run_times.rs
@@ -1,4 +1,4 @@
-//! How long a call ran, compared with others of its kind.
+//! Run times of calls, compared with the mean of their kind.
 
 use std::collections;
 use std::time;
@@ -8,36 +8,36 @@
 #[cfg(test)]
 mod tests;
 
-/// One run moves the mean of its kind by this share: that of a few seconds at 10 calls a second, so
-/// that the mean stays while one upstream after the other answers.
+/// Divisor of the exponential moving average. At 10 calls a second, the mean covers a few seconds,
+/// so that it does not follow single upstreams.
 const SMOOTHING: f32 = 32.0;
 
-/// Mean run times, by kind, over all upstreams that this entry calls.
+/// Mean run times, by kind of call, over all upstreams that this entry node calls.
 #[derive(Debug, Default)]
-pub struct Paces {
-    /// In microseconds.
+pub struct RunTimes {
+    /// Microseconds, by name of the kind.
     means: collections::HashMap<SmolStr, f32>,
 }
 
-impl Paces {
-    /// Takes a call of `kind` that ran for `ran`, and gives that as a multiple of the kind's mean.
-    pub fn note(&mut self, kind: &str, ran: time::Duration) -> f32 {
+impl RunTimes {
+    /// Adds a call of `kind` that ran for `ran`. Returns its run time as a multiple of the mean.
+    pub fn record(&mut self, kind: &str, ran: time::Duration) -> f32 {
         let micros = ran.as_micros().max(1) as f32;
         let Some(mean) = self.means.get_mut(kind) else {
             self.means.insert(SmolStr::new(kind), micros);
             return 1.0;
         };
-        let pace = micros / *mean;
+        let ratio = micros / *mean;
         *mean += (micros - *mean) / SMOOTHING;
-        pace
+        ratio
     }
 
-    /// The mean of `kind`; `None` before a call of it was answered.
-    pub fn usual(&self, kind: &str) -> Option<time::Duration> {
+    /// The mean run time of `kind`; `None` before the first answer.
+    pub fn mean(&self, kind: &str) -> Option<time::Duration> {
         self.means.get(kind).map(|&micros| time::Duration::from_secs_f32(micros / 1e6))
     }
 
-    /// Forgets the kinds that `known` does not name.
+    /// Removes the kinds for which `known` is false.
     pub fn retain(&mut self, known: impl Fn(&SmolStr) -> bool) {
         self.means.retain(|kind, _| known(kind));
     }
--- a/src/proxy/run_times/tests.rs
+++ b/src/proxy/run_times/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of paces.
+//! Tests of the mean run times.
 
 use std::time;
 
-use super::Paces;
+use super::RunTimes;
 
 const KIND: &str = "browse";
 
@@ -12,19 +12,19 @@
 
 #[test]
 fn a_run_is_compared_with_its_kind_alone() {
-    let mut paces = Paces::default();
-    assert_eq!(paces.note(KIND, ms(100)), 1.0);
-    assert_eq!(paces.note("upload", ms(1000)), 1.0);
-    assert_eq!(paces.note(KIND, ms(200)), 2.0);
+    let mut run_times = RunTimes::default();
+    assert_eq!(run_times.record(KIND, ms(100)), 1.0);
+    assert_eq!(run_times.record("upload", ms(1000)), 1.0);
+    assert_eq!(run_times.record(KIND, ms(200)), 2.0);
 }
 
 #[test]
 fn the_mean_follows_all_upstreams() {
-    let mut paces = Paces::default();
+    let mut run_times = RunTimes::default();
     for _ in 0..200 {
-        paces.note(KIND, ms(60));
-        paces.note(KIND, ms(140));
+        run_times.record(KIND, ms(60));
+        run_times.record(KIND, ms(140));
     }
-    let (fast, slow) = (paces.note(KIND, ms(60)), paces.note(KIND, ms(140)));
+    let (fast, slow) = (run_times.record(KIND, ms(60)), run_times.record(KIND, ms(140)));
     assert!((0.5..0.7).contains(&fast) && (1.3..1.5).contains(&slow), "{fast} {slow}");
 }
--- a/src/proxy/running_calls.rs
+++ b/src/proxy/running_calls.rs
@@ -1,7 +1,8 @@
-//! The calls that run at the upstream beside this node. What an upstream calls while it runs one of
-//! them is known by its identity, which begins with that of the call it is made for.
+//! The calls that run at the local upstream. A nested call, one that the upstream makes while it
+//! runs another, is recognised by its request id, which starts with the id of the call it is made
+//! for.
 //!
-//! Whoever gives calls identities of other shapes loses nothing: its calls are taken for callers'.
+//! Nested calls with ids of another form are treated like calls of other callers.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -15,103 +16,111 @@
 #[cfg(test)]
 mod tests;
 
-/// Shortest identity that proves anything, in bytes: a shorter one may begin another by chance.
-const LEAST: usize = 8;
+/// Minimum length of a parent's id: a shorter one may be the prefix of another id by chance.
+const MIN_ID_BYTES: usize = 8;
 
-/// One call that runs.
+/// A call that runs.
 #[derive(Debug)]
-struct Run {
+struct Entry {
     key: u64,
     id: Option<header::HeaderValue>,
-    print: quarantine::Fingerprint,
+    fingerprint: quarantine::Fingerprint,
 }
 
-/// The calls that run.
+/// The calls that run at the local upstream.
 #[derive(Debug, Default)]
-pub struct Runs {
-    list: RefCell<Vec<Run>>,
+pub struct RunningCalls {
+    list: RefCell<Vec<Entry>>,
     next: Cell<u64>,
-    /// Told when the upstream breaks a call off.
-    ends: Rc<crash_detector::Ends>,
-    /// Told when it answers one; `None` where nobody follows.
-    suspects: Option<Rc<quarantine_filter::Suspects>>,
+    /// Notified when the upstream breaks a call off.
+    crashes: Rc<crash_detector::CrashDetector>,
+    /// Notified when it answers a call; `None` in tests.
+    quarantine: Option<Rc<quarantine_filter::QuarantineFilter>>,
 }
 
-/// A call that runs until this is dropped.
+/// A call that counts as running until this is dropped.
 #[derive(Debug)]
-pub struct Running {
-    runs: Rc<Runs>,
+pub struct RunningCall {
+    calls: Rc<RunningCalls>,
     key: u64,
-    print: quarantine::Fingerprint,
-    /// Whether the upstream's answer is no failure: one that gives up in time has not run the call to
-    /// where it ends.
-    sound: bool,
+    fingerprint: quarantine::Fingerprint,
+    /// Whether the status is no server error. After a server error the upstream may have stopped
+    /// short of the point at which the request crashes it.
+    succeeded: bool,
 }
 
-impl Runs {
-    /// No call runs; `ends` is told of those that the upstream breaks off, `suspects` of those that it
-    /// answers.
-    pub fn new(ends: Rc<crash_detector::Ends>, suspects: Rc<quarantine_filter::Suspects>) -> Self {
-        Self { ends, suspects: Some(suspects), ..Self::default() }
+impl RunningCalls {
+    /// No running calls. `crashes` is notified of calls that the upstream breaks off, `quarantine`
+    /// of calls that it answers.
+    pub fn new(
+        crashes: Rc<crash_detector::CrashDetector>,
+        quarantine: Rc<quarantine_filter::QuarantineFilter>,
+    ) -> Self {
+        Self { crashes, quarantine: Some(quarantine), ..Self::default() }
     }
 
     /// Whether the call numbered `key` runs.
     pub fn has(&self, key: u64) -> bool {
-        self.list.borrow().iter().any(|run| run.key == key)
+        self.list.borrow().iter().any(|entry| entry.key == key)
     }
 
-    /// Whether a call other than `print` runs for which `holds`.
+    /// Whether a call with another fingerprint than `fingerprint` runs for which `matches` is true.
     pub fn has_other(
         &self,
-        print: quarantine::Fingerprint,
-        holds: impl Fn(quarantine::Fingerprint) -> bool,
+        fingerprint: quarantine::Fingerprint,
+        matches: impl Fn(quarantine::Fingerprint) -> bool,
     ) -> bool {
-        self.list.borrow().iter().any(|run| run.print != print && holds(run.print))
+        self.list
+            .borrow()
+            .iter()
+            .any(|entry| entry.fingerprint != fingerprint && matches(entry.fingerprint))
     }
 
-    /// Notes that the call `id` with the fingerprint `print` runs.
+    /// Adds a running call.
     pub fn enter(
         self: &Rc<Self>,
         id: Option<header::HeaderValue>,
-        print: quarantine::Fingerprint,
-    ) -> Running {
+        fingerprint: quarantine::Fingerprint,
+    ) -> RunningCall {
         let key = self.next.replace(self.next.get() + 1);
-        self.list.borrow_mut().push(Run { key, id, print });
-        Running { runs: Rc::clone(self), key, print, sound: false }
+        self.list.borrow_mut().push(Entry { key, id, fingerprint });
+        RunningCall { calls: Rc::clone(self), key, fingerprint, succeeded: false }
     }
 
-    /// Whether the call `id` is made by one that runs.
-    pub fn makes(&self, id: &header::HeaderValue) -> bool {
+    /// Whether the parent of the call `id` runs.
+    pub fn has_parent_of(&self, id: &header::HeaderValue) -> bool {
         let id = id.as_bytes();
-        let outers = self.list.borrow();
-        let mut outers = outers.iter().filter_map(|run| run.id.as_ref()).map(|id| id.as_bytes());
-        outers.any(|outer| outer.len() >= LEAST && id.len() > outer.len() && id.starts_with(outer))
+        let list = self.list.borrow();
+        let mut parents = list.iter().filter_map(|entry| entry.id.as_ref()).map(|id| id.as_bytes());
+        parents.any(|parent| {
+            parent.len() >= MIN_ID_BYTES && id.len() > parent.len() && id.starts_with(parent)
+        })
     }
 }
 
-impl Running {
-    /// The upstream broke the call off, and others that run with it may follow.
-    pub fn cut(&self) {
-        let list = self.runs.list.borrow();
-        self.runs.ends.cut(list.iter().map(|run| (run.key, run.print)));
+impl RunningCall {
+    /// Reports that the upstream broke the call off, with the calls that run beside it.
+    pub fn break_off(&self) {
+        let list = self.calls.list.borrow();
+        self.calls.crashes.call_broken(list.iter().map(|entry| (entry.key, entry.fingerprint)));
     }
 
-    /// The head of the upstream's answer has `status`.
-    pub fn head(&mut self, status: http::StatusCode) {
-        self.sound = !status.is_server_error();
+    /// Sets the status of the upstream's answer.
+    pub fn set_status(&mut self, status: http::StatusCode) {
+        self.succeeded = !status.is_server_error();
     }
 
-    /// The upstream's whole answer is there.
-    pub fn whole(&self) {
-        self.runs.ends.whole(self.key);
-        if let Some(suspects) = self.runs.suspects.as_ref().filter(|_| self.sound) {
-            suspects.answered(self.print);
+    /// Reports that the upstream's answer was read to its end.
+    pub fn complete(&self) {
+        self.calls.crashes.call_completed(self.key);
+        if let Some(quarantine) = self.calls.quarantine.as_ref().filter(|_| self.succeeded) {
+            quarantine.answered(self.fingerprint);
         }
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningCall {
     fn drop(&mut self) {
-        self.runs.list.borrow_mut().retain(|run| run.key != self.key);
+        self.calls.list.borrow_mut().retain(|entry| entry.key != self.key);
     }
 }
--- a/src/proxy/running_calls/tests.rs
+++ b/src/proxy/running_calls/tests.rs
@@ -1,16 +1,16 @@
-//! Tests of telling calls of upstreams from those of callers.
+//! Tests of telling nested calls from those of other callers.
 
 use std::rc::Rc;
 
 use http::header;
 use rstest::rstest;
 
-use super::Running;
-use super::Runs;
+use super::RunningCall;
+use super::RunningCalls;
 use crate::quarantine;
 
-fn enter(runs: &Rc<Runs>, text: &'static str) -> Running {
-    runs.enter(Some(id(text)), quarantine::Fingerprint(0))
+fn enter(calls: &Rc<RunningCalls>, text: &'static str) -> RunningCall {
+    calls.enter(Some(id(text)), quarantine::Fingerprint(0))
 }
 
 fn id(text: &'static str) -> header::HeaderValue {
@@ -23,29 +23,29 @@
 #[case::itself("9c41d07be2a35f68", false)]
 #[case::another("9c41d07be2a35f69.1", false)]
 #[case::shorter("9c41d07b", false)]
-fn a_call_made_by_one_that_runs_begins_with_its_identity(
+fn the_id_of_a_nested_call_starts_with_that_of_its_parent(
     #[case] made: &'static str,
     #[case] known: bool,
 ) {
-    let runs = Rc::new(Runs::default());
-    let _running = enter(&runs, "9c41d07be2a35f68");
-    assert_eq!(runs.makes(&id(made)), known);
+    let calls = Rc::new(RunningCalls::default());
+    let _running = enter(&calls, "9c41d07be2a35f68");
+    assert_eq!(calls.has_parent_of(&id(made)), known);
 }
 
 #[test]
-fn a_short_identity_proves_nothing() {
-    let runs = Rc::new(Runs::default());
-    let _running = enter(&runs, "12");
-    assert!(!runs.makes(&id("123")));
+fn a_short_id_is_no_parent() {
+    let calls = Rc::new(RunningCalls::default());
+    let _running = enter(&calls, "12");
+    assert!(!calls.has_parent_of(&id("123")));
 }
 
 #[test]
-fn a_call_that_has_ended_makes_no_more() {
-    let runs = Rc::new(Runs::default());
-    let first = enter(&runs, "9c41d07be2a35f68");
-    let second = enter(&runs, "9c41d07be2a35f68");
+fn a_call_that_has_ended_is_no_parent() {
+    let calls = Rc::new(RunningCalls::default());
+    let first = enter(&calls, "9c41d07be2a35f68");
+    let second = enter(&calls, "9c41d07be2a35f68");
     drop(first);
-    assert!(runs.makes(&id("9c41d07be2a35f68.1")), "a repeat of it still runs");
+    assert!(calls.has_parent_of(&id("9c41d07be2a35f68.1")), "a repeat of it still runs");
     drop(second);
-    assert!(!runs.makes(&id("9c41d07be2a35f68.1")));
+    assert!(!calls.has_parent_of(&id("9c41d07be2a35f68.1")));
 }
--- a/src/proxy/serve.rs
+++ b/src/proxy/serve.rs
@@ -1,4 +1,4 @@
-//! Listeners and the connections they accept.
+//! The listeners of the call path and the connections that they accept.
 
 use std::cell::Cell;
 use std::net;
@@ -23,24 +23,24 @@
 use crate::proxy::wiring;
 use crate::socket;
 
-/// Pause after a failed accept: the process is out of descriptors.
-const PAUSE: time::Duration = time::Duration::from_millis(10);
+/// Delay after a failed accept, which mostly means that the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(10);
 
-/// How long connections are still accepted, and requests on idle ones still answered, after the
-/// last call has ended: what was on its way then is told "not run" in place of being cut.
-const LATE: time::Duration = time::Duration::from_millis(100);
+/// How long connections are still accepted, and requests on idle connections still answered, after
+/// the last call has ended: requests in flight are answered "not run" instead of being cut off.
+const CLOSE_DELAY: time::Duration = time::Duration::from_millis(100);
 
 /// Opens a listener.
 ///
 /// # Errors
 ///
-/// The address is taken or not this host's.
+/// The address is in use or does not belong to this host.
 pub async fn listen(address: net::SocketAddr) -> Result<TcpListener, error::Error> {
     let listener = TcpListener::bind(address).await;
     listener.map_err(|source| error::Error::Listen { address, source })
 }
 
-/// Serves callers until `closing`, then until the last connection has ended.
+/// Serves callers until `closing` is true and the last connection has ended.
 pub async fn callers<C: claim::Claims>(
     state: Rc<state::State<C>>,
     listener: TcpListener,
@@ -50,8 +50,8 @@
     while let Some(stream) = accept(&listener, &mut closing, &mut open).await {
         open.spawn_local(caller(Rc::clone(&state), stream, closing.clone()));
     }
-    let late = tokio::time::Instant::now() + LATE;
-    while let Ok(accepted) = tokio::time::timeout_at(late, listener.accept()).await {
+    let close_at = tokio::time::Instant::now() + CLOSE_DELAY;
+    while let Ok(accepted) = tokio::time::timeout_at(close_at, listener.accept()).await {
         let Ok((stream, _)) = accepted else { break };
         open.spawn_local(caller(Rc::clone(&state), stream, closing.clone()));
     }
@@ -59,7 +59,7 @@
     while open.join_next().await.is_some() {}
 }
 
-/// Serves other nodes until `closing`, then until the last connection has ended.
+/// Serves other nodes until `closing` is true and the last connection has ended.
 pub async fn nodes<C: claim::Claims>(
     state: Rc<state::State<C>>,
     listener: TcpListener,
@@ -72,7 +72,7 @@
     while open.join_next().await.is_some() {}
 }
 
-/// The next connection; `None` when the listener is to close.
+/// Accepts the next connection; `None` once `closing` is true.
 async fn accept(
     listener: &TcpListener,
     closing: &mut wiring::Closing,
@@ -80,13 +80,13 @@
 ) -> Option<TcpStream> {
     loop {
         tokio::select! {
-            // A closed channel means the same as `true`.
+            // A closed channel counts as `true`.
             _ = closing.wait_for(|c| *c) => return None,
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => return Some(stream),
                 Err(error) => {
                     log::warn!("can't accept a connection: {error}");
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
             Some(_) = open.join_next() => {}
@@ -94,29 +94,29 @@
     }
 }
 
-/// Serves the connection of one caller.
+/// Serves the connection of a caller.
 async fn caller<C: claim::Claims>(
     state: Rc<state::State<C>>,
     stream: TcpStream,
     closing: wiring::Closing,
 ) {
     if let Err(error) = socket::tune(&stream) {
-        log::debug!("a connection of a caller ended at once: {error}");
+        log::debug!("can't set the socket options of a caller's connection: {error}");
         return;
     }
     let bounds = bounds(&state);
     caller::run(state, stream, bounds, closing).await;
 }
 
-/// What a caller's connection may send, as the configuration and the settings say when it opens.
+/// The limits on a caller's connection, from the configuration and the settings when it opens.
 fn bounds<C: claim::Claims>(state: &state::State<C>) -> caller::Bounds {
     let limits = state.applied().mesh.limits;
     let proxy = &state.settings.proxy;
-    let arrival = limits.arrival.unwrap_or(time::Duration::from_millis(proxy.head_ms));
+    let head_timeout = limits.arrival.unwrap_or(time::Duration::from_millis(proxy.head_ms));
     let head = limits.head.unwrap_or(proxy.head_bytes);
     caller::Bounds {
-        idle: limits.idle.unwrap_or(arrival),
-        arrival,
+        idle_timeout: limits.idle.unwrap_or(head_timeout),
+        head_timeout,
         head: frame::Limits { head, fields: proxy.head_count },
     }
 }
@@ -128,18 +128,18 @@
 ) {
     let proxy = &state.settings.proxy;
     if let Err(error) = socket::tune(&stream) {
-        log::debug!("a connection of a node ended at once: {error}");
+        log::debug!("can't set the socket options of a node's connection: {error}");
         return;
     }
-    let known = Rc::new(Cell::new(false));
-    let (stranger, mut strange) = watch::channel(false);
+    let authenticated = Rc::new(Cell::new(false));
+    let (rejected, mut rejection) = watch::channel(false);
     let answers = service::service_fn(|request| {
-        let answer = peer::serve(Rc::clone(&state), Rc::clone(&known), request);
-        let stranger = stranger.clone();
-        async move { answer.await.inspect_err(|_| stranger.send_modify(|s| *s = true)) }
+        let answer = peer::serve(Rc::clone(&state), Rc::clone(&authenticated), request);
+        let rejected = rejected.clone();
+        async move { answer.await.inspect_err(|_| rejected.send_modify(|s| *s = true)) }
     });
     let plan = inbound_link::Plan::new(proxy);
-    let conn = http2::Builder::new(links::Here)
+    let conn = http2::Builder::new(links::LocalExecutor)
         .timer(TokioTimer::new())
         .initial_stream_window_size(plan.window)
         .initial_connection_window_size(proxy.link_bytes)
@@ -149,8 +149,8 @@
     let mut conn = std::pin::pin!(conn);
     let result = tokio::select! {
         result = conn.as_mut() => result,
-        _ = strange.wait_for(|s| *s) => {
-            log::warn!("a stranger tried to connect as a node");
+        _ = rejection.wait_for(|s| *s) => {
+            log::warn!("closed a connection without a valid greeting of this mesh");
             return;
         }
         _ = closing.wait_for(|c| *c) => {
--- a/src/proxy/shell.rs
+++ b/src/proxy/shell.rs
@@ -1,5 +1,5 @@
-//! The duty of calls: starts the listeners, follows what the other duties find out, and ends when
-//! nothing is in flight.
+//! The calls duty: starts the listeners, follows the state published by the other duties, and ends
+//! when no call is in flight.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -22,21 +22,20 @@
 use crate::usage;
 use crate::view;
 
-/// Longest the last connections may take to close once nothing is in flight.
-const CLOSE: time::Duration = time::Duration::from_secs(2);
+/// Time for open connections to close once no call is in flight.
+const CLOSE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// Time between two rounds of closing what is no longer used.
-const TIDY: time::Duration = time::Duration::from_secs(1);
+/// Time between two rounds of closing unused connections and dropping expired answers.
+const MAINTENANCE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// Least time between two rebuilds of the table of upstreams, so that churn doesn't take up the
-/// thread.
-const REBUILD: time::Duration = time::Duration::from_millis(20);
+/// Minimum time between two rebuilds of the table of upstreams, so that churn of the membership
+/// doesn't occupy the thread.
+const MIN_REBUILD_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
-/// Time between two looks at the orders of roll-outs. Their shortest steps last some hundred
-/// milliseconds.
-const LOOK: time::Duration = time::Duration::from_millis(100);
+/// Time between two updates of the roll-outs. Their shortest steps last a few hundred milliseconds.
+const ROLLOUT_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// Ends a task when dropped.
+/// Aborts a task when dropped.
 struct Task(task::JoinHandle<()>);
 
 impl Drop for Task {
@@ -45,13 +44,13 @@
     }
 }
 
-/// Serves calls until the process drains and nothing is in flight, or until it ends.
+/// Serves calls until the process drains and no call is in flight, or until the process ends.
 ///
 /// Runs on a [`task::LocalSet`].
 ///
 /// # Errors
 ///
-/// An address to listen on is taken.
+/// [`error::Error::Listen`] when a listener can't be opened.
 pub async fn run<C: claim::Claims>(
     ctx: context::Context,
     settings: Arc<configs::Node>,
@@ -65,25 +64,25 @@
     let followers = [
         spawn(follow_tables(Rc::clone(&state), wiring.applied.clone(), wiring.view.clone())),
         spawn(follow_local(Rc::clone(&state))),
-        spawn(follow_ends(Rc::clone(&state))),
-        spawn(follow_suspects(Rc::clone(&state))),
+        spawn(follow_crashes(Rc::clone(&state))),
+        spawn(follow_quarantine(Rc::clone(&state))),
         spawn(follow_rollouts(Rc::clone(&state), wiring.rollouts.clone())),
         spawn(follow_stop(Rc::clone(&state), wiring.stage.clone())),
-        spawn(keep_house(Rc::clone(&state), wiring.tallies.clone())),
+        spawn(maintain(Rc::clone(&state), wiring.tallies.clone())),
     ];
     let mut callers = spawn(serve::callers(Rc::clone(&state), callers, closing.clone()));
     let mut nodes = spawn(serve::nodes(Rc::clone(&state), nodes, closing));
     let mut stage = wiring.stage;
-    let mut over = stage.clone();
+    let mut ended = stage.clone();
     let closed = async {
         drained(&state, &mut stage).await;
         close.send_replace(true);
         let both = async { tokio::join!(&mut callers.0, &mut nodes.0) };
-        // Connections still open then carry no call.
-        let _ = tokio::time::timeout(CLOSE, both).await;
+        // Connections that are still open after the time-out carry no call.
+        let _ = tokio::time::timeout(CLOSE_TIMEOUT, both).await;
     };
     tokio::select! {
-        () = until(&mut over, node::Stage::End) => {}
+        () = until(&mut ended, node::Stage::End) => {}
         () = closed => {}
     }
     drop(followers);
@@ -95,21 +94,21 @@
     Task(task::spawn_local(task))
 }
 
-/// Waits until the process is at least as far as `least`. An ended sender means its end.
-async fn until(stage: &mut watch::Receiver<node::Stage>, least: node::Stage) {
-    let _ = stage.wait_for(|s| *s >= least).await;
+/// Waits until the process has reached the stage `min`. A closed channel counts as its end.
+async fn until(stage: &mut watch::Receiver<node::Stage>, min: node::Stage) {
+    let _ = stage.wait_for(|s| *s >= min).await;
 }
 
-/// Bounds the calls that come after a planned stop has begun.
+/// Limits the deadlines of calls once a planned stop has begun.
 async fn follow_stop<C: claim::Claims>(
     state: Rc<state::State<C>>,
     mut stage: watch::Receiver<node::Stage>,
 ) {
     until(&mut stage, node::Stage::Leave).await;
-    state.leave();
+    state.begin_stop();
 }
 
-/// Waits until the process drains, callers had time to learn it, and nothing is in flight.
+/// Waits until the process drains, callers have had time to notice, and no call is in flight.
 async fn drained<C: claim::Claims>(
     state: &Rc<state::State<C>>,
     stage: &mut watch::Receiver<node::Stage>,
@@ -117,10 +116,10 @@
     until(stage, node::Stage::Drain).await;
     state.slots.drain();
     tokio::time::sleep(time::Duration::from_millis(state.settings.proxy.linger_ms)).await;
-    state.flights.idle().await;
+    state.in_flight.wait_idle().await;
 }
 
-/// Takes each new configuration and view into use.
+/// Applies each new configuration and view of the mesh.
 async fn follow_tables<C: claim::Claims>(
     state: Rc<state::State<C>>,
     mut applied: watch::Receiver<Arc<mesh::Applied>>,
@@ -137,71 +136,76 @@
         let mesh = Arc::clone(&applied.borrow_and_update());
         let hosts = Arc::clone(&view.borrow_and_update());
         state.rebuild(mesh, &hosts);
-        tokio::time::sleep(REBUILD).await;
+        tokio::time::sleep(MIN_REBUILD_INTERVAL).await;
     }
 }
 
-/// Takes each change of the upstream beside this node into use.
+/// Applies each change of the local upstream, the one beside this node.
 async fn follow_local<C: claim::Claims>(state: Rc<state::State<C>>) {
     let mut local = state.local.clone();
     while local.changed().await.is_ok() {
         local.borrow_and_update();
-        state.limit();
+        state.apply_limits();
     }
 }
 
-/// Tells of each end of the upstream beside this node under calls.
-async fn follow_ends<C: claim::Claims>(state: Rc<state::State<C>>) {
+/// Reports each crash of the local upstream while calls ran there.
+async fn follow_crashes<C: claim::Claims>(state: Rc<state::State<C>>) {
     let limit = time::Duration::from_millis(state.settings.proxy.connect_ms);
     loop {
-        let prints = state.ends.next(|key| state.runs.has(key), || state.serving(), limit).await;
-        state.ended(&prints);
+        let fingerprints = state
+            .crashes
+            .next_crash(|key| state.running.has(key), || state.serving_address(), limit)
+            .await;
+        state.upstream_crashed(&fingerprints);
     }
 }
 
-/// Takes what the mesh knows of requests under which upstreams end into use.
-async fn follow_suspects<C: claim::Claims>(state: Rc<state::State<C>>) {
-    while state.suspects.learn().await {}
+/// Applies each update of the quarantine.
+async fn follow_quarantine<C: claim::Claims>(state: Rc<state::State<C>>) {
+    while state.quarantine.follow().await {}
 }
 
-/// Takes the orders of roll-outs one look further at a time.
+/// Updates the roll-outs at a fixed interval and publishes this node's progress.
 async fn follow_rollouts<C: claim::Claims>(
     state: Rc<state::State<C>>,
-    ends: rollout::shell::Channels,
+    channels: rollout::shell::Channels,
 ) {
-    let mut look = tokio::time::interval(LOOK);
-    look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut update = tokio::time::interval(ROLLOUT_INTERVAL);
+    update.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        look.tick().await;
+        update.tick().await;
         if state.rollouts.is_idle(state.ctx.now()) {
             continue;
         }
         let view = Arc::clone(&state.view.borrow());
-        state.rollouts.settle(&ends.statuses.borrow());
-        state.look(&view);
-        let beliefs = state.rollouts.progress();
-        ends.progress.send_if_modified(|old| std::mem::replace(old, beliefs.clone()) != beliefs);
+        state.rollouts.apply_statuses(&channels.statuses.borrow());
+        state.update_rollouts(&view);
+        let progress = state.rollouts.progress();
+        channels
+            .progress
+            .send_if_modified(|old| std::mem::replace(old, progress.clone()) != progress);
         let trial = state.rollouts.trial();
-        ends.trial.send_if_modified(|old| std::mem::replace(old, trial) != trial);
+        channels.trial.send_if_modified(|old| std::mem::replace(old, trial) != trial);
     }
 }
 
-/// Hands over usage counts and closes what is no longer used.
-async fn keep_house<C: claim::Claims>(
+/// Flushes usage counts, closes unused connections and drops expired answers.
+async fn maintain<C: claim::Claims>(
     state: Rc<state::State<C>>,
     tallies: ring::Sender<usage::Delta>,
 ) {
     let period = time::Duration::from_millis(state.settings.proxy.tally_ms.max(1));
-    let mut hand = tokio::time::interval(period);
-    let mut tidy = tokio::time::interval(TIDY);
+    let mut flush = tokio::time::interval(period);
+    let mut maintenance = tokio::time::interval(MAINTENANCE_INTERVAL);
     loop {
         tokio::select! {
-            _ = hand.tick() => state.tally.borrow_mut().hand(&tallies),
-            _ = tidy.tick() => {
+            _ = flush.tick() => state.tally.borrow_mut().hand(&tallies),
+            _ = maintenance.tick() => {
                 let address = state.local.borrow().as_ref().map(|l| l.address);
-                state.pool.tidy(address);
-                state.links.tidy();
-                state.held.tidy();
+                state.pool.close_idle(address);
+                state.links.close_idle();
+                state.held_answers.remove_expired();
             }
         }
     }
--- a/src/proxy/slots.rs
+++ b/src/proxy/slots.rs
@@ -1,4 +1,4 @@
-//! The gate in front of the upstream beside this node, for tasks that wait for a slot.
+//! Admission to the local upstream: an asynchronous interface to [`admit::Gate`].
 
 use std::cell::{Cell, RefCell};
 use std::collections;
@@ -13,49 +13,49 @@
 use crate::context;
 use crate::retry;
 
-/// Granularity of the runtime's timers.
-const TIMER_SLACK: time::Duration = time::Duration::from_millis(1);
+/// Granularity of the runtime's timers, added to a wait so that the gate's deadline has passed when
+/// it ends.
+const TIMER_GRANULARITY: time::Duration = time::Duration::from_millis(1);
 
-/// What the gate said to a call.
+/// The decision of the gate on a call.
 type Verdict = Result<(), Refused>;
 
-/// The gate turned the call away; it has not run.
+/// The gate did not admit the call; it has not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refused {
-    /// Why.
+    /// Why the call was not admitted.
     pub reason: retry::Reason,
-    /// When a place may be free.
+    /// Delay after which a slot may be free.
     pub retry_after: time::Duration,
 }
 
-/// What a call needs at the gate.
+/// A call's request for a slot.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish<'a> {
-    /// Name of its kind.
+pub struct Request<'a> {
+    /// Name of the call's kind.
     pub kind: &'a str,
-    /// Weight of its kind.
+    /// Weight of the call in the queue.
     pub weight: u32,
-    /// Whether a call that runs already waits for it.
-    pub inner: bool,
-    /// Until when an answer has its full worth.
+    /// Whether the call is nested, so that a running call waits for it.
+    pub nested: bool,
+    /// When the target latency of the call ends.
     pub target: clock::Instant,
-    /// When the gate has to have decided.
+    /// When the gate must have decided.
     pub deadline: clock::Instant,
 }
 
-/// Numbers of kinds at the gate.
+/// Numbers of the kinds, by which the gate knows them.
 #[derive(Debug, Default)]
 struct Kinds {
     names: Vec<SmolStr>,
-    /// Number that the next new kind gets once all are given out.
+    /// The number for the next new kind.
     next: usize,
 }
 
 impl Kinds {
-    /// Most kinds told apart. A service has a handful; a new one takes the number of the one that
-    /// has had its own for longest, so that a node's memory stays bounded however many
-    /// configurations it sees.
-    const MOST: usize = 64;
+    /// Maximum number of kinds told apart. A service has a few. Beyond this, a new kind replaces
+    /// the oldest one, which bounds the memory of a node over many configurations.
+    const MAX_KINDS: usize = 64;
 
     fn number(&mut self, name: &str) -> admit::Kind {
         let known = self.names.iter().position(|k| k == name);
@@ -65,7 +65,7 @@
 
     fn add(&mut self, name: &str) -> usize {
         let index = self.next;
-        self.next = (index + 1) % Self::MOST;
+        self.next = (index + 1) % Self::MAX_KINDS;
         match self.names.get_mut(index) {
             Some(old) => *old = SmolStr::new(name),
             None => self.names.push(SmolStr::new(name)),
@@ -74,7 +74,7 @@
     }
 }
 
-/// The gate and the calls that wait at it.
+/// The gate and the calls that wait for a slot.
 #[derive(Debug)]
 pub struct Slots {
     ctx: context::Context,
@@ -82,11 +82,12 @@
     waiters: RefCell<collections::HashMap<admit::Ticket, oneshot::Sender<Verdict>>>,
     next: Cell<u64>,
     kinds: RefCell<Kinds>,
-    /// Kept to save an allocation for each event.
+    /// Kept between events to save an allocation for each one.
     actions: RefCell<Vec<admit::Action>>,
 }
 
-/// A slot held by a call that runs; dropped without [`Slot::end`], the call was cancelled.
+/// A slot held by a running call. If this is dropped without [`Slot::end`] or [`Slot::shed`], the
+/// call counts as cancelled.
 #[derive(Debug)]
 pub struct Slot {
     slots: Rc<Slots>,
@@ -113,21 +114,21 @@
     /// # Errors
     ///
     /// The gate's refusal.
-    pub async fn enter(self: &Rc<Self>, wish: &Wish<'_>) -> Result<Slot, Refused> {
-        let &Wish { weight, inner, target, deadline, .. } = wish;
-        let kind = self.kinds.borrow_mut().number(wish.kind);
+    pub async fn enter(self: &Rc<Self>, request: &Request<'_>) -> Result<Slot, Refused> {
+        let &Request { weight, nested, target, deadline, .. } = request;
+        let kind = self.kinds.borrow_mut().number(request.kind);
         let ticket = admit::Ticket(self.next.replace(self.next.get() + 1));
         let (sender, mut receiver) = oneshot::channel();
         self.waiters.borrow_mut().insert(ticket, sender);
-        // From here on, leaving early takes the call off the gate.
+        // From here on, the call leaves the queue if this future is dropped.
         let slot = Slot { slots: Rc::clone(self), ticket, ended: false };
-        let call = admit::Call { ticket, kind, weight, inner, target, deadline };
+        let call = admit::Call { ticket, kind, weight, inner: nested, target, deadline };
         self.handle(admit::Event::Arrive(call));
         if let Ok(verdict) = receiver.try_recv() {
             return verdict.map(|()| slot);
         }
-        let left = deadline.since(self.ctx.now()) + TIMER_SLACK;
-        let mut verdict = tokio::time::timeout(left, &mut receiver).await;
+        let remaining = deadline.since(self.ctx.now()) + TIMER_GRANULARITY;
+        let mut verdict = tokio::time::timeout(remaining, &mut receiver).await;
         if verdict.is_err() {
             self.handle(admit::Event::Tick);
             verdict = Ok(receiver.await);
@@ -140,16 +141,16 @@
         }
     }
 
-    /// What [`Self::enter`] would say to a call that came now.
+    /// Whether [`Self::enter`] would admit or queue a call that arrived now.
     ///
     /// # Errors
     ///
     /// The gate's refusal.
-    pub fn preview(&self, wish: &Wish<'_>) -> Result<(), Refused> {
+    pub fn preview(&self, request: &Request<'_>) -> Result<(), Refused> {
         let ticket = admit::Ticket(self.next.replace(self.next.get() + 1));
-        let kind = self.kinds.borrow_mut().number(wish.kind);
-        let &Wish { weight, inner, target, deadline, .. } = wish;
-        let call = admit::Call { ticket, kind, weight, inner, target, deadline };
+        let kind = self.kinds.borrow_mut().number(request.kind);
+        let &Request { weight, nested, target, deadline, .. } = request;
+        let call = admit::Call { ticket, kind, weight, inner: nested, target, deadline };
         match self.gate.borrow().preview(&call, self.ctx.now()) {
             Some(admit::Action::Refuse { reason, retry_after, .. }) => {
                 Err(Refused { reason, retry_after })
@@ -158,12 +159,12 @@
         }
     }
 
-    /// Takes in a change of the limits.
-    pub fn limit(&self, limits: admit::Limits) {
+    /// Applies a change of the limits.
+    pub fn set_limits(&self, limits: admit::Limits) {
         self.handle(admit::Event::Limits(limits));
     }
 
-    /// Admits nothing any more.
+    /// Refuses all further calls.
     pub fn drain(&self) {
         self.handle(admit::Event::Drain);
     }
@@ -173,13 +174,13 @@
         self.handle(admit::Event::Resume);
     }
 
-    /// Forgets what was learned of the upstream, which has started anew.
+    /// Resets what was learned of the upstream, which has restarted.
     pub fn restart(&self) {
         self.handle(admit::Event::Restart);
     }
 
-    /// When a place may be free for a call that was let in and then shed.
-    pub fn pause(&self) -> time::Duration {
+    /// Delay after which a slot may be free for a call that was admitted and then shed.
+    pub fn retry_delay(&self) -> time::Duration {
         let ticket = admit::Ticket(self.next.replace(self.next.get() + 1));
         self.gate.borrow().pause(ticket, self.ctx.now())
     }
@@ -200,7 +201,7 @@
                 }
             };
             if let Some(waiter) = self.waiters.borrow_mut().remove(&ticket) {
-                // A waiter that has left gives its slot back when its `Slot` is dropped.
+                // If the waiter has left, its `Slot` has been dropped, which frees the slot.
                 let _ = waiter.send(verdict);
             }
         }
@@ -209,13 +210,13 @@
 }
 
 impl Slot {
-    /// The call has ended by itself.
+    /// Frees the slot after the call has ended.
     pub fn end(mut self) {
         self.ended = true;
         self.slots.handle(admit::Event::Ended { ticket: self.ticket });
     }
 
-    /// The upstream shed the call.
+    /// Frees the slot after the upstream shed the call.
     pub fn shed(mut self) {
         self.ended = true;
         self.slots.handle(admit::Event::Shed { ticket: self.ticket });
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -1,4 +1,4 @@
-//! What the calls of one node share. Everything here lives on the thread of the call path.
+//! The state shared by all calls of a node. It is used on the thread of the call path only.
 
 use std::cell::{Cell, RefCell};
 use std::collections;
@@ -49,99 +49,100 @@
 use crate::usage;
 use crate::view;
 
-/// Time before the end of a planned stop in which answers still reach their callers. A call that
-/// may take longer than the process lives would end without an answer.
-const LAST_ANSWERS: time::Duration = time::Duration::from_millis(200);
+/// How long before the end of a planned stop the last answers must be sent, so that they still
+/// reach their callers. A call that outlasted the process would end without an answer.
+const ANSWER_MARGIN: time::Duration = time::Duration::from_millis(200);
 
-/// What the calls of one node share.
+/// The state shared by all calls of a node.
 pub struct State<C> {
-    /// Time and randomness.
+    /// The clock and the seed of random numbers.
     pub ctx: context::Context,
-    /// Settings.
+    /// Settings of the node.
     pub settings: Arc<configs::Node>,
     /// This host.
     pub me: host::HostId,
-    /// Claims of idempotency keys.
+    /// Claims idempotency keys.
     pub claims: C,
-    /// The upstream beside this node.
+    /// The local upstream, the one beside this node.
     pub local: watch::Receiver<Option<Arc<node::Local>>>,
-    /// The mesh's hosts.
+    /// The hosts of the mesh.
     pub view: watch::Receiver<Arc<view::View>>,
-    /// How far the process is in its life.
+    /// The stage of the process, from running to its end.
     pub stage: watch::Receiver<node::Stage>,
     /// The configuration in force. Swapped together with the picker's table.
     pub applied: RefCell<Arc<mesh::Applied>>,
-    /// Picks upstreams.
+    /// Picks the upstream of each attempt.
     pub picker: Rc<RefCell<pick::Picker>>,
-    /// Budgets of extra attempts by service.
+    /// Retry budgets, by service.
     pub budgets: RefCell<collections::HashMap<SmolStr, retry::Budget>>,
-    /// The gate in front of the upstream beside this node.
+    /// Admission to the local upstream.
     pub slots: Rc<slots::Slots>,
-    /// Connections to that upstream.
+    /// Connections to the local upstream.
     pub pool: Rc<pool::Pool>,
     /// Connections to other nodes.
     pub links: links::Links,
-    /// Answers held for duplicates.
-    pub held: Rc<held_answers::Held>,
-    /// Calls in flight.
-    pub flights: Rc<resources::Flights>,
-    /// Calls counted.
+    /// Answers to calls with an idempotency key, held for duplicates.
+    pub held_answers: Rc<held_answers::HeldAnswers>,
+    /// Counts the calls in flight.
+    pub in_flight: Rc<resources::CallCounter>,
+    /// Usage counts that have not been flushed yet.
     pub tally: Rc<RefCell<usage::Tally>>,
-    /// Tags of the mesh.
+    /// Authenticates messages between the nodes of the mesh.
     pub seal: seal::Seal,
-    /// How callers and upstreams speak.
+    /// Header names that callers and upstreams use.
     pub dialect: dialect::Dialect,
-    /// Sizes of the answers to each kind of call.
+    /// Mean size of answers, by kind of call.
     pub sizes: RefCell<sizes::Sizes>,
-    /// Run times of each kind of call.
-    pub paces: RefCell<run_times::Paces>,
-    /// Log lines of single calls.
+    /// Mean run times, by kind of call.
+    pub run_times: RefCell<run_times::RunTimes>,
+    /// Writes the log lines of single calls.
     pub trace: trace::Trace,
-    /// The upstream beside this node that was seen last: its instance and life.
-    seen: RefCell<Option<(SmolStr, u32)>>,
-    /// Calls that run at the upstream beside this node.
-    pub runs: Rc<running_calls::Runs>,
-    /// Ends of the upstream beside this node.
-    pub ends: Rc<crash_detector::Ends>,
-    /// Makes the fingerprints of requests.
-    pub printer: quarantine::Fingerprinter,
-    /// Requests under which upstreams end.
-    pub suspects: Rc<quarantine_filter::Suspects>,
-    /// Callers that were refused and may come back.
-    pub returns: RefCell<caller_retries::Returns>,
-    /// Versions of upstreams in roll-outs.
+    /// Instance and incarnation of the local upstream that was applied last.
+    last_upstream: RefCell<Option<(SmolStr, u32)>>,
+    /// Calls that run at the local upstream.
+    pub running: Rc<running_calls::RunningCalls>,
+    /// Detects crashes of the local upstream.
+    pub crashes: Rc<crash_detector::CrashDetector>,
+    /// Computes the fingerprints of requests.
+    pub fingerprinter: quarantine::Fingerprinter,
+    /// Refuses requests that crash upstreams, and reports crashes.
+    pub quarantine: Rc<quarantine_filter::QuarantineFilter>,
+    /// Failed calls whose callers may retry.
+    pub caller_retries: RefCell<caller_retries::CallerRetries>,
+    /// State of the roll-outs.
     pub rollouts: versions::Versions,
-    /// Turns of the split routes.
-    pub splitter: RefCell<traffic_split::Splitter>,
-    /// Memory for bodies of requests.
-    pub room: Rc<body_memory::Room>,
-    /// Turns of long bodies from other nodes.
-    pub inflow: inbound_link::Inflow,
-    /// When the last answers have to be on their way; `None` until a planned stop begins.
-    pub last: Cell<Option<clock::Instant>>,
-    /// Start of the identities of calls made here.
-    prefix: u64,
-    /// Number of the next call that needs one.
+    /// Divides the calls of split routes between services.
+    pub traffic_split: RefCell<traffic_split::TrafficSplit>,
+    /// Memory for buffered bodies of requests.
+    pub body_memory: Rc<body_memory::BodyMemory>,
+    /// Schedules long bodies from other nodes on this host's link.
+    pub inbound_link: inbound_link::InboundLink,
+    /// When the last answers must be sent; `None` until a planned stop begins.
+    pub answer_deadline: Cell<Option<clock::Instant>>,
+    /// The first number given out by [`State::next_number`].
+    first_number: u64,
+    /// How many numbers have been given out.
     next: Cell<u64>,
 }
 
 impl<C: claim::Claims> State<C> {
-    /// The state of a node that has served nothing yet.
+    /// The state of a node that has served no call yet.
     pub fn new(
         ctx: context::Context,
         settings: Arc<configs::Node>,
         wiring: &wiring::Wiring<C>,
     ) -> Self {
         let me = host::HostId::new(settings.listen);
-        let place = view::Locality { region: settings.region.clone(), zone: settings.zone.clone() };
-        let mut picker = pick::Picker::new(place, &settings.call, ctx.seed_for("pick"));
+        let locality =
+            view::Locality { region: settings.region.clone(), zone: settings.zone.clone() };
+        let mut picker = pick::Picker::new(locality, &settings.call, ctx.seed_for("pick"));
         if settings.proxy.link_mbps > 0.0 {
             picker = picker.at(me);
         }
         let seal = seal::Seal::new(&settings.mesh, &settings.key);
-        let ends = Rc::<crash_detector::Ends>::default();
-        let suspects =
-            Rc::new(quarantine_filter::Suspects::new(ctx, me, wiring.quarantine.clone()));
+        let crashes = Rc::<crash_detector::CrashDetector>::default();
+        let quarantine =
+            Rc::new(quarantine_filter::QuarantineFilter::new(ctx, me, wiring.quarantine.clone()));
         let proxy = &settings.proxy;
         let limits = held_answers::Limits {
             time: time::Duration::from_millis(proxy.held_ms),
@@ -162,33 +163,36 @@
             slots: Rc::new(slots::Slots::new(ctx)),
             pool: Rc::new(pool::Pool::new(idle)),
             links: links::Links::new(me, seal.clone(), Arc::clone(&settings)),
-            held: Rc::new(held_answers::Held::new(limits)),
-            flights: Rc::default(),
+            held_answers: Rc::new(held_answers::HeldAnswers::new(limits)),
+            in_flight: Rc::default(),
             tally: Rc::default(),
             dialect: wiring.dialect.clone(),
             sizes: RefCell::default(),
-            paces: RefCell::default(),
+            run_times: RefCell::default(),
             trace: trace::Trace::default(),
-            seen: RefCell::default(),
-            returns: RefCell::default(),
-            runs: Rc::new(running_calls::Runs::new(Rc::clone(&ends), Rc::clone(&suspects))),
-            suspects,
-            ends,
-            printer: quarantine::Fingerprinter::new(&seal),
+            last_upstream: RefCell::default(),
+            caller_retries: RefCell::default(),
+            running: Rc::new(running_calls::RunningCalls::new(
+                Rc::clone(&crashes),
+                Rc::clone(&quarantine),
+            )),
+            quarantine,
+            crashes,
+            fingerprinter: quarantine::Fingerprinter::new(&seal),
             seal,
             rollouts: versions::Versions::default(),
-            splitter: RefCell::default(),
-            room: Rc::new(body_memory::Room::new(proxy.kept_bytes)),
-            inflow: inbound_link::Inflow::new(inbound_link::Plan::new(proxy)),
-            last: Cell::new(None),
-            prefix: ctx.seed_for("call"),
+            traffic_split: RefCell::default(),
+            body_memory: Rc::new(body_memory::BodyMemory::new(proxy.kept_bytes)),
+            inbound_link: inbound_link::InboundLink::new(inbound_link::Plan::new(proxy)),
+            answer_deadline: Cell::new(None),
+            first_number: ctx.seed_for("call"),
             next: Cell::new(0),
             settings,
         }
     }
 
-    /// Adds to the headers of a call what this node vouches for: the service it comes from.
-    pub fn sign(&self, map: &mut header::HeaderMap) {
+    /// Sets the header that names the service of this host, replacing any value the caller sent.
+    pub fn add_caller_header(&self, map: &mut header::HeaderMap) {
         let Some(caller) = &self.dialect.caller else { return };
         map.remove(caller);
         if let Ok(service) = header::HeaderValue::from_str(&self.settings.service) {
@@ -196,37 +200,38 @@
         }
     }
 
-    /// A planned stop has begun: calls are answered before the process ends. Gives the moment when
-    /// the last answers have to be on their way.
-    pub fn leave(&self) -> clock::Instant {
+    /// Begins a planned stop: calls are answered before the process ends. Returns when the last
+    /// answers must be sent.
+    pub fn begin_stop(&self) -> clock::Instant {
         let stop = &self.settings.stop;
-        let left = time::Duration::from_millis(stop.serve_ms + stop.drain_ms);
-        let last = self.ctx.now() + left.saturating_sub(LAST_ANSWERS);
-        let last = self.last.get().unwrap_or(last);
-        self.last.set(Some(last));
-        last
+        let remaining = time::Duration::from_millis(stop.serve_ms + stop.drain_ms);
+        let answer_deadline = self.ctx.now() + remaining.saturating_sub(ANSWER_MARGIN);
+        let answer_deadline = self.answer_deadline.get().unwrap_or(answer_deadline);
+        self.answer_deadline.set(Some(answer_deadline));
+        answer_deadline
     }
 
-    /// Waits until the last answers have to be on their way; for ever while no stop begins.
-    pub async fn last_moment(&self) {
+    /// Waits until the last answers must be sent; forever while no stop begins.
+    pub async fn wait_answer_deadline(&self) {
         let mut stage = self.stage.clone();
         // A closed channel means that the process ends.
         let _ = stage.wait_for(|stage| *stage >= node::Stage::Leave).await;
-        tokio::time::sleep_until(self.timer(self.leave())).await;
+        tokio::time::sleep_until(self.timer(self.begin_stop())).await;
     }
 
-    /// The deadline of a call whose caller waits until `wish`.
-    pub fn deadline(&self, wish: clock::Instant) -> clock::Instant {
-        self.last.get().map_or(wish, |last| last.min(wish))
+    /// The deadline of a call whose caller waits until `caller_deadline`: earlier during a planned
+    /// stop.
+    pub fn deadline(&self, caller_deadline: clock::Instant) -> clock::Instant {
+        self.answer_deadline.get().map_or(caller_deadline, |last| last.min(caller_deadline))
     }
 
     /// Whether a planned stop has begun.
-    pub fn leaving(&self) -> bool {
+    pub fn is_leaving(&self) -> bool {
         *self.stage.borrow() >= node::Stage::Leave
     }
 
     /// Whether new calls are refused.
-    pub fn draining(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         *self.stage.borrow() >= node::Stage::Drain
     }
 
@@ -235,82 +240,86 @@
         Arc::clone(&self.applied.borrow())
     }
 
-    /// The runtime's instant of `deadline`.
+    /// Converts `deadline` to an instant of the runtime.
     pub fn timer(&self, deadline: clock::Instant) -> tokio::time::Instant {
         tokio::time::Instant::now() + deadline.since(self.ctx.now())
     }
 
-    /// Wait suggested to a refused caller.
-    pub fn pause(&self) -> time::Duration {
+    /// The delay that a refused caller is told to wait before it retries.
+    pub fn retry_delay(&self) -> time::Duration {
         time::Duration::from_millis(self.settings.proxy.retry_ms)
     }
 
-    /// How much of a body may be held that may have `limit` bytes.
+    /// Bounds for reading a body of up to `limit` bytes.
     pub fn bounds(&self, limit: u64) -> upload::Bounds<'_> {
-        upload::Bounds { keep: self.settings.proxy.keep_bytes, limit, room: &self.room }
+        upload::Bounds {
+            max_buffered: self.settings.proxy.keep_bytes,
+            max_bytes: limit,
+            memory: &self.body_memory,
+        }
     }
 
-    /// The load of the upstream beside this node, as others are to see it: the wait for the host's
-    /// link counts as calls that wait as long for a slot.
+    /// The load of the local upstream as reported to other nodes. The wait for the host's link is
+    /// included: it counts as calls that wait equally long for a slot.
     pub fn load(&self) -> admit::Load {
-        let wait = inbound_link::link_time(&self.settings.proxy, self.inflow.ahead());
+        let wait = inbound_link::link_time(&self.settings.proxy, self.inbound_link.pending_bytes());
         self.slots.load().and_wait(wait)
     }
 
-    /// Tells the attempt that `hold` stands for how the upstream's time compares with that of others.
-    /// What an upstream fails may take any time.
-    pub fn compare(
+    /// Records a run time in the mean of its kind, and its ratio to that mean in the attempt of
+    /// `resources`. Calls that the upstream failed are left out, as their time says nothing.
+    pub fn record_run_time(
         &self,
         kind: &str,
         status: http::StatusCode,
-        ran: call_spec::Ran,
-        hold: &mut resources::Hold,
+        ran: call_spec::RunTime,
+        resources: &mut resources::Resources,
     ) {
-        // What a version that is tried takes says nothing of what is usual.
-        let usual = |trip: &&mut attempt::Trip| status.is_success() && !trip.is_tried();
-        if let Some(trip) = hold.trip.as_mut().filter(usual) {
-            trip.pace(self.paces.borrow_mut().note(kind, ran.0));
+        // A version under trial must not change the mean that it is compared with.
+        let counts = |attempt: &&mut attempt::Attempt| status.is_success() && !attempt.is_trial();
+        if let Some(attempt) = resources.attempt.as_mut().filter(counts) {
+            attempt.set_relative_time(self.run_times.borrow_mut().record(kind, ran.0));
         }
     }
 
-    /// What the end of an attempt for `kind` says of the version that it went to; `None` where the
+    /// What the result of an attempt shows of the version that it went to; `None` where the
     /// upstream had no part in it.
-    pub fn evidence(
+    pub fn observation(
         &self,
         kind: &str,
         result: &Result<http::Response<body::Reply>, refuse::Refusal>,
-    ) -> Option<versions::Result> {
+    ) -> Option<versions::Observation> {
         match result {
             Ok(answer) => {
-                let ran = answer.extensions().get::<call_spec::Ran>();
-                let times = ran.map(|ran| ran.0).zip(self.paces.borrow().usual(kind));
-                Some(versions::Result { failed: answer.status().is_server_error(), times })
+                let ran = answer.extensions().get::<call_spec::RunTime>();
+                let times = ran.map(|ran| ran.0).zip(self.run_times.borrow().mean(kind));
+                Some(versions::Observation { failed: answer.status().is_server_error(), times })
             }
             Err(refusal) => match refusal.outcome {
                 retry::Outcome::Unknown(
                     retry::Reason::Cut | retry::Reason::Malformed | retry::Reason::Timeout,
-                ) => Some(versions::Result { failed: true, times: None }),
+                ) => Some(versions::Observation { failed: true, times: None }),
                 _ => None,
             },
         }
     }
 
-    /// A number that no other call of this process has. Its start is random, so that a process
-    /// whose incarnation is not known yet doesn't repeat the numbers of the one before.
-    pub fn number(&self) -> u64 {
+    /// A number that no other call of this process has. The first one is random, so that a process
+    /// whose incarnation is not known yet doesn't repeat the numbers of its predecessor.
+    pub fn next_number(&self) -> u64 {
         let number = self.next.get();
         self.next.set(number + 1);
-        self.prefix.wrapping_add(number)
+        self.first_number.wrapping_add(number)
     }
 
-    /// A new identity of a call.
-    pub fn id(&self) -> header::HeaderValue {
-        let text = format!("{:016x}", self.number());
+    /// A new request id.
+    pub fn new_id(&self) -> header::HeaderValue {
+        let text = format!("{:016x}", self.next_number());
         header::HeaderValue::from_str(&text)
             .unwrap_or_else(|_| header::HeaderValue::from_static("0"))
     }
 
-    /// Runs `with` on the budget of extra attempts of `service`.
+    /// Runs `with` on the retry budget of `service`.
     pub fn budget<T>(
         &self,
         service: &mesh::Service,
@@ -330,89 +339,90 @@
         }
     }
 
-    /// Takes a configuration and a view into use, both at once.
+    /// Applies a configuration and a view of the mesh together.
     pub fn rebuild(&self, applied: Arc<mesh::Applied>, view: &view::View) {
-        self.arrange(&applied.mesh, view);
+        self.rebuild_picker(&applied.mesh, view);
         let names = |name: &SmolStr| applied.mesh.services.iter().any(|s| s.name == *name);
         self.budgets.borrow_mut().retain(|name, _| names(name));
-        self.splitter.borrow_mut().retain(&applied.mesh);
+        self.traffic_split.borrow_mut().retain(&applied.mesh);
         let kinds: collections::HashSet<&SmolStr> =
             applied.mesh.kinds.iter().map(|k| &k.name).collect();
         self.sizes.borrow_mut().retain(|kind| kinds.contains(kind));
-        self.paces.borrow_mut().retain(|kind| kinds.contains(kind));
+        self.run_times.borrow_mut().retain(|kind| kinds.contains(kind));
         self.applied.replace(applied);
-        self.limit();
+        self.apply_limits();
     }
 
-    /// Looks at the orders of roll-outs again, as time passes and evidence comes in.
-    pub fn look(&self, view: &view::View) {
+    /// Updates the roll-outs, which change with time and with the answers that are observed.
+    pub fn update_rollouts(&self, view: &view::View) {
         let applied = self.applied();
-        self.arrange(&applied.mesh, view);
+        self.rebuild_picker(&applied.mesh, view);
     }
 
-    /// Sorts the upstreams of `view` by what orders of `mesh` allow.
-    fn arrange(&self, mesh: &mesh::Mesh, view: &view::View) {
+    /// Rebuilds the picker's table from the upstreams of `view` and the roll-out orders of `mesh`.
+    fn rebuild_picker(&self, mesh: &mesh::Mesh, view: &view::View) {
         let now = self.ctx.now();
         self.rollouts.update(mesh, view, now);
-        self.rollouts.judge(self.local.borrow().as_ref().map(|local| &local.upstream));
+        self.rollouts.update_trial(self.local.borrow().as_ref().map(|local| &local.upstream));
         let mut picker = self.picker.borrow_mut();
         self.rollouts.with(|table| picker.rebuild_with(view, mesh, table, now));
     }
 
-    /// Takes the limits of the upstream beside this node into use.
-    pub fn limit(&self) {
+    /// Applies the limits of the local upstream.
+    pub fn apply_limits(&self) {
         let local = self.local.borrow().clone();
         if let Some(local) = &local {
-            self.greet(local);
+            self.reset_if_restarted(local);
         }
         let address = local.as_ref().map(|l| l.address);
-        self.pool.tidy(address);
-        self.slots.limit(local.as_ref().map_or_else(
+        self.pool.close_idle(address);
+        self.slots.set_limits(local.as_ref().map_or_else(
             || admit::Limits { slots: 0, connections: 0, queue: 0 },
             |local| self.limits(&local.upstream),
         ));
-        self.let_in(local.as_deref());
+        self.update_admission(local.as_deref());
     }
 
-    /// Forgets what was learned of the upstream seen last when `local` is another one, or the same in
-    /// another life. Calls that ran in a life which has ended would hold their slots until their
-    /// deadline; those of another instance, which may be leaving, go on.
-    fn greet(&self, local: &node::Local) {
+    /// Resets what was learned of the local upstream when its incarnation changed. If the instance
+    /// is the same, it has restarted: its connections are closed, as calls of the previous process
+    /// would otherwise hold their slots until their deadline. Calls of another instance, which may
+    /// be leaving, go on.
+    fn reset_if_restarted(&self, local: &node::Local) {
         let now = (local.instance.clone(), local.upstream.incarnation);
-        let Some((instance, life)) = self.seen.replace(Some(now)) else { return };
-        if life == local.upstream.incarnation {
+        let Some((instance, incarnation)) = self.last_upstream.replace(Some(now)) else { return };
+        if incarnation == local.upstream.incarnation {
             return;
         }
         if instance == local.instance {
-            self.pool.sever();
+            self.pool.close_all();
         }
         self.slots.restart();
     }
 
-    /// Sends those who wait for an upstream that is leaving elsewhere, and lets calls in again for
-    /// the next one.
-    fn let_in(&self, local: Option<&node::Local>) {
+    /// Refuses the calls that wait for an upstream that is leaving, and admits calls again for its
+    /// successor.
+    fn update_admission(&self, local: Option<&node::Local>) {
         let leaving = local.is_some_and(|l| l.upstream.phase == view::Phase::Draining);
-        if leaving || self.draining() {
+        if leaving || self.is_draining() {
             self.slots.drain();
         } else {
             self.slots.resume();
         }
     }
 
-    /// Where the upstream beside this node takes calls; `None` while there is none, or it is leaving.
-    pub fn serving(&self) -> Option<net::SocketAddr> {
+    /// Address of the local upstream; `None` while there is none, or it is leaving.
+    pub fn serving_address(&self) -> Option<net::SocketAddr> {
         let local = self.local.borrow();
         let local = local.as_ref().filter(|l| l.upstream.phase != view::Phase::Draining);
         local.map(|local| local.address)
     }
 
-    /// The upstream beside this node has ended while requests with these fingerprints ran.
-    pub fn ended(&self, prints: &[quarantine::Fingerprint]) {
+    /// Reports that the local upstream crashed while requests with these fingerprints ran.
+    pub fn upstream_crashed(&self, fingerprints: &[quarantine::Fingerprint]) {
         let local = self.local.borrow();
         let Some(local) = local.as_ref() else { return };
-        self.trace.upstream_ended(&local.instance, local.upstream.incarnation, prints);
-        self.suspects.ended(prints);
+        self.trace.upstream_crashed(&local.instance, local.upstream.incarnation, fingerprints);
+        self.quarantine.crashed(fingerprints);
     }
 
     fn limits(&self, upstream: &view::Upstream) -> admit::Limits {
--- a/src/proxy/trace.rs
+++ b/src/proxy/trace.rs
@@ -1,4 +1,4 @@
-//! Log lines of decisions about single calls, with the inputs that decided them.
+//! Log lines on single calls, with the inputs of the decisions on them.
 
 use std::cell::Cell;
 use std::hash;
@@ -18,18 +18,20 @@
 #[cfg(test)]
 mod tests;
 
-/// Most lines a second. Each costs some microseconds; 200 of them are a thousandth of a core.
-const LINES: u32 = 200;
+/// Maximum number of lines a second. Each takes a few microseconds; 200 of them use 0.1 % of a
+/// core.
+const MAX_LINES_PER_SECOND: u32 = 200;
 
-/// One call in this many that are served is logged, at every node that it passes.
-const SAMPLE: u64 = 64;
+/// One in this many served calls is logged, at every node that it passes.
+const SAMPLE_ONE_IN: u64 = 64;
 
 const SECOND: time::Duration = time::Duration::from_secs(1);
 
-/// Bounds the lines of one node. What is left out is counted and said with the next line.
+/// Writes the log lines, up to a maximum number a second. The next line states how many were left
+/// out.
 #[derive(Debug, Default)]
 pub struct Trace {
-    /// Start of the second that is counted.
+    /// Start of the current second.
     since: Cell<clock::Instant>,
     lines: Cell<u32>,
     skipped: Cell<u64>,
@@ -38,108 +40,108 @@
 /// A call that ended without an answer of its upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct Ended<'a> {
-    /// Its name.
+    /// Request id.
     pub id: &'a header::HeaderValue,
-    /// What the caller is told.
+    /// What the caller gets.
     pub refusal: &'a refuse::Refusal,
-    /// Version that the node ran when the call came.
+    /// Configuration version in force when the call arrived.
     pub version: version::Version,
-    /// Time since the call came.
+    /// Time since the call arrived.
     pub took: time::Duration,
 }
 
-/// An attempt that brought no answer.
+/// A failed attempt, at the entry node.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt<'a> {
-    /// Name of the call.
+    /// Request id.
     pub id: &'a header::HeaderValue,
-    /// Its route.
+    /// Route of the call.
     pub route: &'a str,
-    /// Service it went to.
+    /// Service of the call.
     pub service: &'a str,
-    /// Where it was sent, if anywhere.
+    /// The host that was picked; `None` if there was none.
     pub host: Option<host::HostId>,
-    /// Its number, from 1.
+    /// Number of the attempt, from 1.
     pub number: u8,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: retry::Outcome,
     /// Whether another attempt follows.
     pub again: bool,
-    /// Whether a running call waits for it.
-    pub inner: bool,
-    /// Time left for the call.
-    pub left: time::Duration,
+    /// Whether the call is nested.
+    pub nested: bool,
+    /// Time remaining until the deadline.
+    pub remaining: time::Duration,
 }
 
-/// A call that the upstream's own node did not let in.
+/// A call that the owner node did not admit.
 #[derive(Clone, Copy, Debug)]
-pub struct Turned<'a> {
-    /// Name of the call, if it has one.
+pub struct Refused<'a> {
+    /// Request id, if there is one.
     pub id: Option<&'a header::HeaderValue>,
-    /// Service that it needs.
+    /// Service of the call.
     pub service: &'a str,
-    /// Its kind.
+    /// Kind of the call.
     pub kind: &'a str,
-    /// Whether a running call waits for it.
-    pub inner: bool,
-    /// Why.
+    /// Whether the call is nested.
+    pub nested: bool,
+    /// Why it was not admitted.
     pub reason: retry::Reason,
-    /// What the gate held.
+    /// Load of the upstream.
     pub load: admit::Load,
-    /// Time left until its answer loses part of its worth.
+    /// Time remaining until the target latency ends.
     pub target: time::Duration,
-    /// Time left for the call.
-    pub left: time::Duration,
-    /// When it is told to come back.
-    pub after: time::Duration,
+    /// Time remaining until the deadline.
+    pub remaining: time::Duration,
+    /// Delay after which the call may be retried.
+    pub retry_after: time::Duration,
 }
 
-/// A call that its upstream answered, at its entry.
+/// A call that its upstream answered, at the entry node.
 #[derive(Clone, Copy, Debug)]
 pub struct Served<'a> {
-    /// Its name.
+    /// Request id.
     pub id: &'a header::HeaderValue,
-    /// What the upstream answered.
+    /// Status of the upstream's answer.
     pub status: http::StatusCode,
-    /// Version that the node ran when the call came.
+    /// Configuration version in force when the call arrived.
     pub version: version::Version,
-    /// Time since the call came.
+    /// Time since the call arrived.
     pub took: time::Duration,
 }
 
-/// A call that ran, at its upstream's own node.
+/// A call that ran, at the owner node.
 #[derive(Clone, Copy, Debug)]
 pub struct Ran<'a> {
-    /// Its name.
+    /// Request id.
     pub id: &'a header::HeaderValue,
-    /// Its kind.
+    /// Kind of the call.
     pub kind: &'a str,
-    /// Time for which it waited for a slot.
+    /// Time for which the call waited for a slot.
     pub waited: time::Duration,
     /// Time from then on until its answer was read.
     pub ran: time::Duration,
-    /// What the gate held when it had ended.
+    /// Load of the upstream after the call.
     pub load: admit::Load,
-    /// Time left for the call.
-    pub left: time::Duration,
+    /// Time remaining until the deadline.
+    pub remaining: time::Duration,
 }
 
-/// Whether the call `id` is logged although it was served. Every node decides the same, so that its
-/// whole path is there.
-pub fn samples(id: &header::HeaderValue) -> bool {
+/// Whether the call `id` is in the sample of served calls that are logged. All nodes decide alike,
+/// so that the whole path of a call is logged.
+pub fn is_sampled(id: &header::HeaderValue) -> bool {
     let mut hasher = hash::DefaultHasher::new();
     id.as_bytes().hash(&mut hasher);
-    hasher.finish().is_multiple_of(SAMPLE)
+    hasher.finish().is_multiple_of(SAMPLE_ONE_IN)
 }
 
 impl Trace {
-    /// Lines left out since the last one, if one more may be written now.
+    /// Number of lines left out since the last one; `None` if no line may be written now.
     fn admit(&self, now: clock::Instant) -> Option<u64> {
         if now.since(self.since.get()) >= SECOND {
             self.since.set(now);
             self.lines.set(0);
         }
-        if self.lines.get() >= LINES {
+        if self.lines.get() >= MAX_LINES_PER_SECOND {
             self.skipped.set(self.skipped.get() + 1);
             return None;
         }
@@ -147,7 +149,7 @@
         Some(self.skipped.take())
     }
 
-    /// The end of a call at its entry.
+    /// Logs a call that ended without an answer of its upstream, at the entry node.
     pub fn ended(&self, ended: &Ended<'_>, now: clock::Instant) {
         let Some(skipped) = self.admit(now) else { return };
         let refusal = ended.refusal;
@@ -164,9 +166,9 @@
         );
     }
 
-    /// The answer of an upstream, at the call's entry, if the call is one of the sample.
+    /// Logs a call that its upstream answered, at the entry node, if it is in the sample.
     pub fn served(&self, served: &Served<'_>, now: clock::Instant) {
-        if !samples(served.id) {
+        if !is_sampled(served.id) {
             return;
         }
         let Some(skipped) = self.admit(now) else { return };
@@ -175,15 +177,15 @@
             status = served.status.as_u16(),
             version = served.version.number(),
             took_ms = millis(served.took),
-            sample = SAMPLE,
+            sample = SAMPLE_ONE_IN,
             skipped;
             "an upstream answered a call"
         );
     }
 
-    /// A run at the upstream, if the call is one of the sample.
+    /// Logs a call that ran, at the owner node, if it is in the sample.
     pub fn ran(&self, ran: &Ran<'_>, now: clock::Instant) {
-        if !samples(ran.id) {
+        if !is_sampled(ran.id) {
             return;
         }
         let Some(skipped) = self.admit(now) else { return };
@@ -196,14 +198,14 @@
             waiting = ran.load.waiting,
             slots = ran.load.slots,
             service_us = ran.load.service,
-            left_ms = millis(ran.left),
-            sample = SAMPLE,
+            left_ms = millis(ran.remaining),
+            sample = SAMPLE_ONE_IN,
             skipped;
             "the upstream ran a call"
         );
     }
 
-    /// An attempt without an answer, at the call's entry.
+    /// Logs a failed attempt, at the entry node.
     pub fn attempt(&self, attempt: &Attempt<'_>, now: clock::Instant) {
         let Some(skipped) = self.admit(now) else { return };
         let host = attempt.host.map(|host| host.to_string()).unwrap_or_default();
@@ -216,44 +218,52 @@
             outcome = refuse::name(attempt.outcome),
             reason = reason(attempt.outcome),
             again = attempt.again,
-            inner = attempt.inner,
-            left_ms = millis(attempt.left),
+            inner = attempt.nested,
+            left_ms = millis(attempt.remaining),
             skipped;
             "an attempt brought no answer"
         );
     }
 
-    /// The end of the upstream beside this node, while requests with the fingerprints `prints` ran
-    /// there. Upstreams end too seldom for a bound on the lines.
-    pub fn upstream_ended(&self, instance: &str, life: u32, prints: &[quarantine::Fingerprint]) {
-        let names: Vec<_> =
-            prints.iter().take(quarantine::MAX_FINGERPRINTS).map(ToString::to_string).collect();
+    /// Logs a crash of the local upstream while requests with these fingerprints ran there. Crashes
+    /// are too rare to need a limit on the lines.
+    pub fn upstream_crashed(
+        &self,
+        instance: &str,
+        incarnation: u32,
+        fingerprints: &[quarantine::Fingerprint],
+    ) {
+        let names: Vec<_> = fingerprints
+            .iter()
+            .take(quarantine::MAX_FINGERPRINTS)
+            .map(ToString::to_string)
+            .collect();
         let names = names.join(" ");
         log::warn!(
             instance,
-            life,
-            running = prints.len(),
+            life = incarnation,
+            running = fingerprints.len(),
             prints = names.as_str();
-            "the upstream ended while it ran calls"
+            "the upstream crashed while it ran calls"
         );
     }
 
-    /// A refusal at the upstream's own node.
-    pub fn turned(&self, turned: &Turned<'_>, now: clock::Instant) {
+    /// Logs a call that the owner node did not admit.
+    pub fn refused(&self, refused: &Refused<'_>, now: clock::Instant) {
         let Some(skipped) = self.admit(now) else { return };
         log::info!(
-            id = turned.id.map(text).unwrap_or_default(),
-            service = turned.service,
-            kind = turned.kind,
-            inner = turned.inner,
-            reason = turned.reason.as_str(),
-            running = turned.load.running,
-            waiting = turned.load.waiting,
-            slots = turned.load.slots,
-            service_us = turned.load.service,
-            target_ms = millis(turned.target),
-            left_ms = millis(turned.left),
-            retry_after_ms = millis(turned.after),
+            id = refused.id.map(text).unwrap_or_default(),
+            service = refused.service,
+            kind = refused.kind,
+            inner = refused.nested,
+            reason = refused.reason.as_str(),
+            running = refused.load.running,
+            waiting = refused.load.waiting,
+            slots = refused.load.slots,
+            service_us = refused.load.service,
+            target_ms = millis(refused.target),
+            left_ms = millis(refused.remaining),
+            retry_after_ms = millis(refused.retry_after),
             skipped;
             "the upstream's node did not let a call in"
         );
--- a/src/proxy/traffic_split.rs
+++ b/src/proxy/traffic_split.rs
@@ -1,5 +1,5 @@
-//! Split routes: each part gets its share of the calls by turns, so that the shares come out right
-//! in any stretch of calls and not only on average.
+//! Divides the calls of split routes between services, by weighted round robin: the shares are met
+//! within any short sequence of calls, and not only on average.
 
 use std::collections;
 
@@ -10,23 +10,23 @@
 #[cfg(test)]
 mod tests;
 
-/// The turns of each split route, by its name.
+/// The state of each split route, by its name.
 #[derive(Debug, Default)]
-pub struct Splitter {
-    turns: collections::HashMap<SmolStr, Turns>,
+pub struct TrafficSplit {
+    turns: collections::HashMap<SmolStr, Shares>,
 }
 
-/// How far each part is behind its share.
+/// How far each part of a route is behind its share.
 ///
-/// Invariants: as long as `parts`; the credits add up to zero between two turns.
+/// Invariants: `credits` is as long as `parts`; the credits add up to zero between two calls.
 #[derive(Debug)]
-struct Turns {
+struct Shares {
     parts: Vec<mesh::Part>,
     credits: Vec<i64>,
 }
 
-impl Splitter {
-    /// The service that serves the next call of `route`.
+impl TrafficSplit {
+    /// The service for the next call of `route`.
     pub fn next(&mut self, route: &mesh::Route) -> mesh::ServiceKey {
         if route.split.is_empty() {
             return route.service;
@@ -35,13 +35,13 @@
         if let Some(turns) = known.filter(|turns| turns.parts == route.split) {
             return turns.next().unwrap_or(route.service);
         }
-        let mut turns = Turns::new(&route.split);
+        let mut turns = Shares::new(&route.split);
         let next = turns.next().unwrap_or(route.service);
         self.turns.insert(route.name.clone(), turns);
         next
     }
 
-    /// Forgets the routes that `mesh` does not have.
+    /// Removes the routes that are not split in `mesh`.
     pub fn retain(&mut self, mesh: &mesh::Mesh) {
         let split = mesh.routes.iter().filter(|r| !r.split.is_empty());
         let names: collections::HashSet<&SmolStr> = split.map(|r| &r.name).collect();
@@ -49,13 +49,14 @@
     }
 }
 
-impl Turns {
+impl Shares {
     fn new(parts: &[mesh::Part]) -> Self {
         Self { parts: parts.to_vec(), credits: vec![0; parts.len()] }
     }
 
-    /// Smooth weighted round robin: every part earns its weight, the richest is chosen and pays
-    /// for all. With weights 90 and 10 every stretch of ten calls has one of the second part.
+    /// Smooth weighted round robin: each part's credit grows by its weight; the part of the highest
+    /// credit is chosen, and the total weight is deducted from its credit. With weights 90 and 10,
+    /// one of every ten consecutive calls goes to the second part.
     fn next(&mut self) -> Option<mesh::ServiceKey> {
         let total: i64 = self.parts.iter().map(|p| i64::from(p.weight)).sum();
         for (credit, part) in self.credits.iter_mut().zip(&self.parts) {
--- a/src/proxy/traffic_split/tests.rs
+++ b/src/proxy/traffic_split/tests.rs
@@ -17,22 +17,22 @@
     }
 }
 
-/// How many of `calls` each part of a route with these weights gets.
+/// Number of `calls` that each part of a route with these weights gets.
 fn shares(weights: &[u32], calls: usize) -> Vec<usize> {
-    let (route, mut splitter) = (route(weights), traffic_split::Splitter::default());
+    let (route, mut traffic_split) = (route(weights), traffic_split::TrafficSplit::default());
     let mut counts = vec![0; weights.len()];
     for _ in 0..calls {
-        counts[usize::from(splitter.next(&route).0)] += 1;
+        counts[usize::from(traffic_split.next(&route).0)] += 1;
     }
     counts
 }
 
 #[rstest]
-#[case::most_and_few(&[90, 10], 30, &[27, 3])]
+#[case::uneven(&[90, 10], 30, &[27, 3])]
 #[case::even(&[1, 1, 1], 9, &[3, 3, 3])]
 #[case::none_for_a_part(&[5, 0], 7, &[7, 0])]
 #[case::first_weightless(&[0, 5], 7, &[0, 7])]
-#[case::short_stretch(&[50, 30, 20], 10, &[5, 3, 2])]
+#[case::three_parts(&[50, 30, 20], 10, &[5, 3, 2])]
 fn each_part_gets_its_share(
     #[case] weights: &[u32],
     #[case] calls: usize,
@@ -43,15 +43,15 @@
 
 #[test]
 fn a_route_that_is_not_split_keeps_its_service() {
-    let (route, mut splitter) = (route(&[]), traffic_split::Splitter::default());
-    assert_eq!(splitter.next(&route), mesh::ServiceKey(0));
+    let (route, mut traffic_split) = (route(&[]), traffic_split::TrafficSplit::default());
+    assert_eq!(traffic_split.next(&route), mesh::ServiceKey(0));
 }
 
 #[test]
-fn new_weights_begin_anew() {
-    let mut splitter = traffic_split::Splitter::default();
-    splitter.next(&route(&[90, 10]));
+fn new_weights_reset_the_shares() {
+    let mut traffic_split = traffic_split::TrafficSplit::default();
+    traffic_split.next(&route(&[90, 10]));
     let turned = route(&[10, 90]);
-    let first: Vec<u16> = (0..10).map(|_| splitter.next(&turned).0).collect();
+    let first: Vec<u16> = (0..10).map(|_| traffic_split.next(&turned).0).collect();
     assert_eq!(first.iter().filter(|&&s| s == 1).count(), 9);
 }
--- a/src/proxy/upload.rs
+++ b/src/proxy/upload.rs
@@ -1,5 +1,5 @@
-//! Bodies of requests: small ones are kept for another attempt, long ones stream with back
-//! pressure.
+//! Bodies of requests: short ones are buffered, so that another attempt can send them again; long
+//! ones are streamed with back pressure.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -18,139 +18,152 @@
 use crate::quarantine;
 use crate::retry;
 
-/// A request's body at the entry, from which each attempt gets its own [`Upload`].
+/// The body of a request, from which each attempt gets its own [`Upload`].
 #[derive(Debug)]
-pub enum Intake {
-    /// Read whole.
-    Kept(Kept),
-    /// Too large to keep.
-    Stream(Rc<RefCell<Source>>),
+pub enum Body {
+    /// Read to its end.
+    Buffered(Buffered),
+    /// Too large to buffer.
+    Stream(Rc<RefCell<Streamed>>),
 }
 
-/// A body that was read whole.
+/// A buffered body.
 #[derive(Debug, Default)]
-pub struct Kept {
+pub struct Buffered {
     /// The body.
     pub bytes: Bytes,
-    /// Its share of the memory for bodies; an empty one has none.
-    _share: Option<body_memory::Share>,
+    /// Its share of the memory for bodies; `None` for an empty body.
+    _reservation: Option<body_memory::Reservation>,
 }
 
-/// Brings the parts of a body in one after the other.
-pub trait Pace {
-    /// The next part of `rest`, when it may come in.
+/// Reads the frames of a body.
+pub trait FrameReader {
+    /// Reads the next frame of `rest` once that is allowed; `None` at the end.
     fn next(
         &mut self,
-        rest: &mut received_body::Wire,
+        rest: &mut received_body::ReceivedBody,
     ) -> impl Future<Output = Option<Result<Frame<Bytes>, error::Broken>>>;
 }
 
-/// Each part comes in as soon as it is there.
+/// Reads each frame without delay.
 #[derive(Clone, Copy, Debug)]
-pub struct AtOnce;
+pub struct Immediate;
 
-impl Pace for AtOnce {
+impl FrameReader for Immediate {
     async fn next(
         &mut self,
-        rest: &mut received_body::Wire,
+        rest: &mut received_body::ReceivedBody,
     ) -> Option<Result<Frame<Bytes>, error::Broken>> {
         rest.frame().await
     }
 }
 
-/// How much of a body may be held.
+/// Limits on reading a body.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds<'a> {
-    /// Largest body that is read whole, in bytes.
-    pub keep: u64,
-    /// Largest body, in bytes.
-    pub limit: u64,
-    /// Memory for all bodies that are read whole.
-    pub room: &'a Rc<body_memory::Room>,
+    /// Maximum size of a buffered body, in bytes.
+    pub max_buffered: u64,
+    /// Maximum size of any body, in bytes.
+    pub max_bytes: u64,
+    /// Memory for all buffered bodies of the process.
+    pub memory: &'a Rc<body_memory::BodyMemory>,
 }
 
-/// A body that streams.
+/// A streamed body.
 #[derive(Debug)]
-pub struct Source {
-    /// What was read before the first attempt; each attempt starts with it.
+pub struct Streamed {
+    /// The bytes read before the first attempt; each attempt starts with them.
     head: Bytes,
-    rest: received_body::Wire,
-    /// Whether an attempt has taken a byte of `rest`, so that no other can begin.
-    taken: bool,
-    /// Bytes read so far.
-    seen: u64,
-    limit: u64,
-    /// Why it ended early.
+    rest: received_body::ReceivedBody,
+    /// Whether an attempt has read from `rest`, so that no other attempt can start.
+    started: bool,
+    /// Number of bytes read so far.
+    received: u64,
+    max_bytes: u64,
+    /// Why the body ended early; `None` if it has not.
     fault: Option<retry::Reason>,
 }
 
-/// Body of one attempt.
+/// The body of an attempt.
 #[derive(Debug)]
 pub enum Upload {
-    /// Read whole; `None` once given out.
-    Kept(Option<Bytes>),
-    /// Streams; the flag says that the head was given out.
-    Stream(Rc<RefCell<Source>>, bool),
+    /// A buffered body; `None` once it was sent.
+    Buffered(Option<Bytes>),
+    /// A streamed body; the flag tells whether the attempt has sent the head.
+    Stream(Rc<RefCell<Streamed>>, bool),
 }
 
-impl Intake {
-    /// Reads a body up to `bounds.keep` bytes; a longer one streams, and so does one that there is
-    /// no room for.
+impl Body {
+    /// Buffers a body of up to `bounds.max_buffered` bytes. A longer one is streamed, and so is one
+    /// for which there is not enough memory.
     ///
     /// # Errors
     ///
-    /// [`retry::Reason::TooLarge`] when it is known to be larger than `bounds.limit` bytes,
-    /// [`retry::Reason::Cut`] when it ends early.
-    pub async fn read<P: Pace>(
-        mut rest: received_body::Wire,
+    /// [`retry::Reason::TooLarge`] if it is known to be larger than `bounds.max_bytes`,
+    /// [`retry::Reason::Cut`] if it ends early.
+    pub async fn read<R: FrameReader>(
+        mut rest: received_body::ReceivedBody,
         bounds: &Bounds<'_>,
-        pace: &mut P,
+        reader: &mut R,
     ) -> Result<Self, retry::Reason> {
-        let &Bounds { keep, limit, room } = bounds;
+        let &Bounds { max_buffered, max_bytes, memory } = bounds;
         if rest.is_end_stream() {
-            return Ok(Self::Kept(Kept::default()));
+            return Ok(Self::Buffered(Buffered::default()));
         }
         let sized = rest.size_hint().exact();
-        if sized.is_some_and(|n| n > limit) {
+        if sized.is_some_and(|n| n > max_bytes) {
             return Err(retry::Reason::TooLarge);
         }
         let mut head = BytesMut::new();
-        let share =
-            if sized.is_none_or(|n| n <= keep) { room.take(sized.unwrap_or(keep)) } else { None };
-        if let Some(mut share) = share {
-            while head.len() as u64 <= keep {
-                let frame = pace.next(&mut rest).await.transpose();
+        let reservation = if sized.is_none_or(|n| n <= max_buffered) {
+            memory.reserve(sized.unwrap_or(max_buffered))
+        } else {
+            None
+        };
+        if let Some(mut reservation) = reservation {
+            while head.len() as u64 <= max_buffered {
+                let frame = reader.next(&mut rest).await.transpose();
                 let Some(frame) = frame.map_err(|_| retry::Reason::Cut)? else {
-                    share.shrink(head.len() as u64);
-                    return Ok(Self::Kept(Kept { bytes: head.freeze(), _share: Some(share) }));
+                    reservation.shrink(head.len() as u64);
+                    return Ok(Self::Buffered(Buffered {
+                        bytes: head.freeze(),
+                        _reservation: Some(reservation),
+                    }));
                 };
                 let Ok(data) = frame.into_data() else { continue };
                 head.extend_from_slice(&data);
-                if head.len() as u64 > limit {
+                if head.len() as u64 > max_bytes {
                     return Err(retry::Reason::TooLarge);
                 }
             }
         }
-        let seen = head.len() as u64;
-        let source = Source { head: head.freeze(), rest, taken: false, seen, limit, fault: None };
+        let received = head.len() as u64;
+        let source = Streamed {
+            head: head.freeze(),
+            rest,
+            started: false,
+            received,
+            max_bytes,
+            fault: None,
+        };
         Ok(Self::Stream(Rc::new(RefCell::new(source))))
     }
 
-    /// The body for one attempt.
+    /// The body for an attempt.
     ///
-    /// Invariant: at most one attempt of a streaming body is under way at a time.
+    /// Invariant: at most one attempt with a streamed body is in flight at a time.
     pub fn attempt(&self) -> Upload {
         match self {
-            Intake::Kept(kept) => Upload::Kept(Some(kept.bytes.clone())),
-            Intake::Stream(source) => Upload::Stream(Rc::clone(source), false),
+            Body::Buffered(body) => Upload::Buffered(Some(body.bytes.clone())),
+            Body::Stream(source) => Upload::Stream(Rc::clone(source), false),
         }
     }
 
-    /// Bytes of the body, as far as they are known.
+    /// Size of the body in bytes; a lower bound if its length is not known.
     pub fn bytes(&self) -> u64 {
         match self {
-            Intake::Kept(kept) => kept.bytes.len() as u64,
-            Intake::Stream(source) => {
+            Body::Buffered(body) => body.bytes.len() as u64,
+            Body::Stream(source) => {
                 let source = source.borrow();
                 let rest = source.rest.size_hint();
                 source.head.len() as u64 + rest.exact().unwrap_or(rest.lower())
@@ -158,50 +171,53 @@
         }
     }
 
-    /// Whether another attempt can have the body from its start.
-    pub fn repeats(&self) -> bool {
+    /// Whether another attempt can send the body from its start.
+    pub fn is_repeatable(&self) -> bool {
         match self {
-            Intake::Kept(_) => true,
-            Intake::Stream(source) => !source.borrow().taken,
+            Body::Buffered(_) => true,
+            Body::Stream(source) => !source.borrow().started,
         }
     }
 
-    /// Why the body ended early, if it did.
+    /// Why the body ended early; `None` if it has not.
     pub fn fault(&self) -> Option<retry::Reason> {
         match self {
-            Intake::Kept(_) => None,
-            Intake::Stream(source) => source.borrow().fault,
+            Body::Buffered(_) => None,
+            Body::Stream(source) => source.borrow().fault,
         }
     }
 }
 
-impl Source {
+impl Streamed {
     fn poll(
         &mut self,
         cx: &mut task::Context<'_>,
     ) -> task::Poll<Option<Result<Frame<Bytes>, error::Broken>>> {
-        self.taken = true;
+        self.started = true;
         let frame = task::ready!(Pin::new(&mut self.rest).poll_frame(cx));
         if let Some(Ok(frame)) = &frame {
-            self.seen += frame.data_ref().map_or(0, |d| d.len() as u64);
+            self.received += frame.data_ref().map_or(0, |d| d.len() as u64);
         }
         if frame.as_ref().is_some_and(Result::is_err) {
             self.fault = Some(retry::Reason::Cut);
         }
-        if self.seen > self.limit {
+        if self.received > self.max_bytes {
             self.fault = Some(retry::Reason::TooLarge);
-            let limit = self.limit;
-            return task::Poll::Ready(Some(Err(error::Broken::TooLarge { limit })));
+            let max_bytes = self.max_bytes;
+            return task::Poll::Ready(Some(Err(error::Broken::TooLarge { limit: max_bytes })));
         }
         task::Poll::Ready(frame)
     }
 }
 
 impl Upload {
-    /// The body as its request's fingerprint takes it. Invariant: nothing was given out yet.
-    pub fn print(&self) -> quarantine::Body<'_> {
+    /// The form of the body from which the request's fingerprint is computed. Invariant: nothing
+    /// was sent yet.
+    pub fn fingerprint_body(&self) -> quarantine::Body<'_> {
         match self {
-            Upload::Kept(bytes) => quarantine::Body::Whole(bytes.as_deref().unwrap_or_default()),
+            Upload::Buffered(bytes) => {
+                quarantine::Body::Whole(bytes.as_deref().unwrap_or_default())
+            }
             Upload::Stream(..) => quarantine::Body::Streams(self.size_hint().exact()),
         }
     }
@@ -216,14 +232,14 @@
         cx: &mut task::Context<'_>,
     ) -> task::Poll<Option<Result<Frame<Bytes>, error::Broken>>> {
         match self.get_mut() {
-            Upload::Kept(bytes) => {
+            Upload::Buffered(bytes) => {
                 let bytes = bytes.take().filter(|b| !b.is_empty());
                 task::Poll::Ready(bytes.map(|b| Ok(Frame::data(b))))
             }
-            Upload::Stream(source, given) => {
+            Upload::Stream(source, head_sent) => {
                 let mut source = source.borrow_mut();
-                if !*given {
-                    *given = true;
+                if !*head_sent {
+                    *head_sent = true;
                     if !source.head.is_empty() {
                         return task::Poll::Ready(Some(Ok(Frame::data(source.head.clone()))));
                     }
@@ -235,19 +251,19 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Upload::Kept(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            Upload::Buffered(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
             Upload::Stream(..) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Upload::Kept(bytes) => {
+            Upload::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
-            Upload::Stream(source, given) => {
+            Upload::Stream(source, head_sent) => {
                 let source = source.borrow();
-                let head = if *given { 0 } else { source.head.len() as u64 };
+                let head = if *head_sent { 0 } else { source.head.len() as u64 };
                 let rest = source.rest.size_hint().exact();
                 rest.map_or_else(SizeHint::default, |n| SizeHint::with_exact(head + n))
             }
--- a/src/proxy/versions.rs
+++ b/src/proxy/versions.rs
@@ -1,4 +1,4 @@
-//! Roll-outs on the call path: which versions serve a call, and what their answers are like.
+//! Roll-outs on the call path: selects the versions that serve a call and records their answers.
 
 use std::cell::{Cell, RefCell};
 use std::time;
@@ -10,103 +10,102 @@
 use crate::rollout::status;
 use crate::view;
 
-/// An answer, or the lack of one, as evidence on a version.
+/// What the result of a call shows of a version.
 #[derive(Clone, Copy, Debug)]
-pub struct Result {
-    /// Whether the upstream failed the call or gave no whole answer.
+pub struct Observation {
+    /// Whether the upstream failed the call or did not answer it completely.
     pub failed: bool,
-    /// How long the upstream ran, with the usual time for calls of the kind; `None` where either is not
-    /// known.
+    /// Run time at the upstream and mean run time of the kind; `None` if either is unknown.
     pub times: Option<(time::Duration, time::Duration)>,
 }
 
-impl Result {
-    /// Whether it speaks against the version.
-    fn is_bad(&self, warm: bool) -> bool {
-        let slow =
-            |(ran, usual): (time::Duration, time::Duration)| ran > usual.mul_f32(counts::SLOW);
-        self.failed || (warm && self.times.is_some_and(slow))
+impl Observation {
+    /// Whether the result counts against the version. Run times count only if the upstream
+    /// `is_warm`.
+    fn is_bad(&self, is_warm: bool) -> bool {
+        let slow = |(ran, mean): (time::Duration, time::Duration)| ran > mean.mul_f32(counts::SLOW);
+        self.failed || (is_warm && self.times.is_some_and(slow))
     }
 }
 
-/// The orders as the calls of this node see them.
+/// The state of the roll-outs on the call path.
 #[derive(Debug, Default)]
 pub struct Versions {
     table: RefCell<rollout::Table>,
-    /// What was seen of the upstream beside this node.
+    /// Results observed at the local upstream.
     trial: Cell<rollout::TrialReport>,
 }
 
 impl Versions {
-    /// Takes in orders and what the hosts tell.
+    /// Applies the roll-out orders of `mesh` and the hosts' reports in `view`.
     pub fn update(&self, mesh: &mesh::Mesh, view: &view::View, now: clock::Instant) {
         self.table.borrow_mut().update(mesh, view, now);
     }
 
-    /// Takes over what the mesh has said.
-    pub fn settle(&self, said: &status::StatusList) {
-        for status in &said.list {
+    /// Applies the published status of each roll-out.
+    pub fn apply_statuses(&self, statuses: &status::StatusList) {
+        for status in &statuses.list {
             let Some(stage) = status.state.stage() else { continue };
             self.table.borrow_mut().settle(&status.service, status.order, stage);
         }
     }
 
-    /// Whether nothing changes with time at `now`.
+    /// Whether no roll-out will change with time after `now`.
     pub fn is_idle(&self, now: clock::Instant) -> bool {
         self.table.borrow().is_idle(now)
     }
 
-    /// Whether there are orders, and answers are evidence.
+    /// Whether there are roll-out orders, so that answers must be recorded.
     pub fn has_orders(&self) -> bool {
         self.table.borrow().has_orders()
     }
 
-    /// Runs `with` on the orders.
+    /// Runs `with` on the table of roll-outs.
     pub fn with<T>(&self, with: impl FnOnce(&rollout::Table) -> T) -> T {
         with(&self.table.borrow())
     }
 
-    /// The versions that serve the next call for `service`.
+    /// The side, old or new, that serves the next call for `service`.
     pub fn next(&self, service: &str, now: clock::Instant) -> rollout::Side {
         self.table.borrow_mut().next(service, now)
     }
 
-    /// The versions that serve a call for `service` where `side` has no upstream.
-    pub fn instead(&self, service: &str, side: rollout::Side) -> Option<rollout::Side> {
+    /// The side that serves a call for `service` if `side` has no upstream; `None` if there is
+    /// none.
+    pub fn fallback(&self, service: &str, side: rollout::Side) -> Option<rollout::Side> {
         self.table.borrow().instead(service, side)
     }
 
-    /// What this node believes.
+    /// The progress of each roll-out as seen by this node.
     pub fn progress(&self) -> Vec<rollout::table::Progress> {
         self.table.borrow().progress()
     }
 
-    /// What was seen of the upstream beside this node.
+    /// Results observed at the local upstream, for the other hosts.
     pub const fn trial(&self) -> rollout::TrialReport {
         self.trial.get()
     }
 
-    /// Notes what the old version answered to a call that was made here.
-    pub fn note_old(&self, service: &str, result: Result) {
-        self.table.borrow_mut().note_old(service, result.is_bad(true));
+    /// Records a result of the old version, for a call that entered the mesh at this node.
+    pub fn record_old(&self, service: &str, observation: Observation) {
+        self.table.borrow_mut().note_old(service, observation.is_bad(true));
     }
 
-    /// Notes what the upstream beside this node answered.
-    pub fn note_own(&self, upstream: &view::Upstream, result: Result) {
+    /// Records a result of the local upstream.
+    pub fn record_local(&self, upstream: &view::Upstream, observation: Observation) {
         let order = self.table.borrow().tried(&upstream.service, &upstream.version);
         let mut trial = self.trial.get();
         if trial.order != order {
             trial = rollout::TrialReport { order, ..rollout::TrialReport::default() };
         }
         if order > 0 {
-            trial.new.note(result.is_bad(upstream.phase == view::Phase::Serving));
+            trial.new.note(observation.is_bad(upstream.phase == view::Phase::Serving));
         }
         self.trial.set(trial);
     }
 
-    /// Brings what the others are told up to date with what is known of the order for the service of
-    /// `upstream`, which is beside this node.
-    pub fn judge(&self, upstream: Option<&view::Upstream>) {
+    /// Updates the published results for the current roll-out of the local upstream's service.
+    pub fn update_trial(&self, upstream: Option<&view::Upstream>) {
         let trial = upstream.map(|upstream| self.table.borrow().trial(upstream, self.trial.get()));
         self.trial.set(trial.unwrap_or_default());
     }
--- a/src/proxy/wiring.rs
+++ b/src/proxy/wiring.rs
@@ -1,4 +1,4 @@
-//! What joins the call path to the other duties of its node.
+//! The channels and handles between the call path and the other duties of its node.
 
 use std::sync::Arc;
 
@@ -13,28 +13,28 @@
 use crate::usage;
 use crate::view;
 
-/// Becomes true when connections shall end as soon as they carry no call.
+/// Becomes true when connections must close as soon as they carry no call.
 pub type Closing = watch::Receiver<bool>;
 
-/// What joins the call path to the other duties.
+/// The channels and handles between the call path and the other duties.
 #[derive(Clone, Debug)]
 pub struct Wiring<C> {
     /// The configuration in force.
     pub applied: watch::Receiver<Arc<mesh::Applied>>,
-    /// The mesh's hosts.
+    /// The hosts of the mesh.
     pub view: watch::Receiver<Arc<view::View>>,
-    /// The upstream beside this node.
+    /// The local upstream, the one beside this node.
     pub local: watch::Receiver<Option<Arc<node::Local>>>,
-    /// How far the process is in its life.
+    /// The stage of the process, from running to its end.
     pub stage: watch::Receiver<node::Stage>,
-    /// Takes usage counts; a full ring leaves them here for the next time.
+    /// Receives usage counts; those that a full ring refuses are sent again with the next ones.
     pub tallies: ring::Sender<usage::Delta>,
-    /// Claims of idempotency keys.
+    /// Claims idempotency keys.
     pub claims: C,
-    /// How callers and upstreams speak.
+    /// Header names that callers and upstreams use.
     pub dialect: dialect::Dialect,
-    /// Requests under which upstreams end.
+    /// The quarantine of requests that crash upstreams.
     pub quarantine: quarantine::CallSide,
-    /// Roll-outs: what is believed here and what the mesh says.
+    /// Roll-outs: the progress seen by this node, and their status in the mesh.
     pub rollouts: rollout::shell::Channels,
 }
--- a/tests/calls/pool.rs
+++ b/tests/calls/pool.rs
@@ -41,7 +41,7 @@
 
 async fn ask(lease: &mut pool::Lease) -> Bytes {
     let request = http::Request::builder().uri("/").header("host", "a");
-    let answer = lease.send(request.body(upload::Upload::Kept(None)).unwrap()).await.unwrap();
+    let answer = lease.send(request.body(upload::Upload::Buffered(None)).unwrap()).await.unwrap();
     answer.into_body().collect().await.unwrap().to_bytes()
 }
 
@@ -52,13 +52,13 @@
     rig::run(async {
         let address = upstream(later);
         let pool = Rc::new(pool::Pool::new(IDLE));
-        let mut lease = pool.take(address).await.unwrap();
+        let mut lease = pool.acquire(address).await.unwrap();
         assert_eq!(ask(&mut lease).await, "answer 0");
-        lease.finish();
+        lease.release();
         assert_eq!(pool.idle(), 1);
         // The runtime has no chance to hear of what comes meanwhile.
         thread::sleep(time::Duration::from_millis(200));
-        let mut lease = pool.take(address).await.unwrap();
+        let mut lease = pool.acquire(address).await.unwrap();
         assert_eq!(ask(&mut lease).await, "answer 1");
     });
 }
