--- a/src/proxy/owner.rs
+++ b/src/proxy/owner.rs
@@ -201,7 +201,7 @@
     state: &state::State<C>,
     fingerprint: quarantine::Fingerprint,
 ) -> Result<(), refuse::Refusal> {
-    let suspect = |fingerprint| state.quarantine.is_suspected(fingerprint);
+    let suspect = |fingerprint| state.quarantine.needs_isolation(fingerprint);
     if suspect(fingerprint) && state.running.has_other(fingerprint, suspect) {
         return Err(
             refuse::Refusal::not_run(retry::Reason::Full).retry_in(state.slots.retry_delay())
--- a/src/proxy/quarantine_filter.rs
+++ b/src/proxy/quarantine_filter.rs
@@ -91,9 +91,9 @@
         f32::from(u16::from_le_bytes(first)) / f32::from(u16::MAX)
     }
 
-    /// Whether `fingerprint` is suspected: enough crashes to be isolated, not enough to be refused.
-    /// Two suspected requests don't run at the same time, so that the next crash tells them apart.
-    pub fn is_suspected(&self, fingerprint: quarantine::Fingerprint) -> bool {
+    /// Whether `fingerprint` has enough crashes to be isolated, though not enough to be refused.
+    /// Two such requests don't run at the same time, so that the next crash tells them apart.
+    pub fn needs_isolation(&self, fingerprint: quarantine::Fingerprint) -> bool {
         self.snapshot.borrow().crashes(fingerprint) >= quarantine::SUSPICION_THRESHOLD
     }
 
--- a/tests/calls/answers.rs
+++ b/tests/calls/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that are late, crossed, cut short, doubled, trickled or oversized.
+//! Answers that are late, cut off, duplicated, slow or long, and answers to another call.
 
 use std::cell::Cell;
 use std::time;
@@ -11,7 +11,7 @@
 
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\n";
 
-/// An order is not idempotent: it may not be tried again after any of these.
+/// An order is not idempotent, so it must not be tried again after any of these answers.
 #[rstest]
 #[case::cut_by_length(b"content-length: 20\r\n\r\nhalf", "cut")]
 #[case::cut_in_a_chunk(b"transfer-encoding: chunked\r\n\r\n14\r\nhalf", "cut")]
@@ -20,9 +20,12 @@
 #[case::without_a_marked_end(b"\r\nwhole or half, who knows", "malformed")]
 #[case::for_another_call(b"x-request-id: r0\r\ncontent-length: 4\r\n\r\nr0!!", "malformed")]
 #[case::two_lengths(b"content-length: 4\r\ncontent-length: 2\r\n\r\nhalf", "cut")]
-fn a_broken_answer_is_never_taken_as_whole(#[case] rest: &'static [u8], #[case] reason: &str) {
+fn a_broken_answer_is_never_passed_on_as_complete(
+    #[case] rest: &'static [u8],
+    #[case] reason: &str,
+) {
     rig::run(async {
-        let script = move |_: &fake::Seen| vec![Step::Write([HEAD, rest].concat()), Step::Close];
+        let script = move |_: &fake::Request| vec![Step::Write([HEAD, rest].concat()), Step::Close];
         let fake = fake::Fake::start(script).await;
         let nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
         for entry in &nodes {
@@ -31,7 +34,7 @@
             assert_eq!(answer.header("dandelionspool-reason"), reason);
             assert_eq!(answer.text(), reason);
         }
-        assert_eq!(fake.runs("r1"), 2, "once for each call");
+        assert_eq!(fake.runs("r1"), 2, "one run for each call");
     });
 }
 
@@ -39,14 +42,14 @@
 fn an_idempotent_call_survives_a_cut_answer() {
     rig::run(async {
         let broken = Cell::new(false);
-        let script = move |seen: &fake::Seen| {
-            if broken.replace(true) { fake::echo(seen) } else { vec![Step::Close] }
+        let script = move |request: &fake::Request| {
+            if broken.replace(true) { fake::echo(request) } else { vec![Step::Close] }
         };
         let fake = fake::Fake::start(script).await;
         let nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
         let answer = rig::call(&nodes[0], rig::request("GET", "/browse", "r1"), b"").await;
         assert_eq!((answer.outcome(), answer.text()), ("ran", "answer to r1"));
-        assert_eq!(fake.seen()[1].header("dandelionspool-attempt"), "2");
+        assert_eq!(fake.requests()[1].header("dandelionspool-attempt"), "2");
     });
 }
 
@@ -54,7 +57,7 @@
 fn a_long_answer_that_is_cut_ends_in_an_error_the_caller_sees() {
     for head in ["content-length: 1000000\r\n\r\n", "transfer-encoding: chunked\r\n\r\nf4240\r\n"] {
         rig::run(async {
-            let script = move |_: &fake::Seen| {
+            let script = move |_: &fake::Request| {
                 let mut bytes = [HEAD, head.as_bytes()].concat();
                 bytes.extend_from_slice(&[b'x'; 500_000]);
                 vec![Step::Write(bytes), Step::Close]
@@ -64,7 +67,7 @@
             for entry in &nodes {
                 let answer = rig::call(entry, rig::request("GET", "/browse", "r1"), b"").await;
                 assert_eq!(answer.status, 200);
-                assert!(answer.body.is_none(), "the caller took half an answer for a whole one");
+                assert!(answer.body.is_none(), "the caller took half an answer for a complete one");
             }
         });
     }
@@ -74,8 +77,8 @@
 fn a_long_answer_streams_whole() {
     rig::run(async {
         let text = "0123456789".repeat(300_000);
-        let whole = fake::answer(&text);
-        let fake = fake::Fake::start(move |_| vec![Step::Write(whole.clone())]).await;
+        let complete = fake::answer(&text);
+        let fake = fake::Fake::start(move |_| vec![Step::Write(complete.clone())]).await;
         let nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
         for entry in &nodes {
             let answer = rig::call(entry, rig::request("GET", "/browse", "r1"), b"").await;
@@ -88,7 +91,7 @@
 #[test]
 fn a_trickled_answer_comes_whole() {
     rig::run(async {
-        let script = |_: &fake::Seen| {
+        let script = |_: &fake::Request| {
             let bytes = fake::answer("drop by drop");
             let step = |b: &u8| [Step::Write(vec![*b]), Step::Wait(time::Duration::from_millis(1))];
             bytes.iter().flat_map(step).collect()
@@ -103,12 +106,12 @@
 #[test]
 fn a_late_answer_is_unknown_and_its_connection_is_not_used_again() {
     rig::run(async {
-        let script = |seen: &fake::Seen| match seen.header("x-request-id").as_str() {
+        let script = |request: &fake::Request| match request.header("x-request-id").as_str() {
             "late0" | "late1" => vec![
                 Step::Wait(time::Duration::from_millis(400)),
                 Step::Write(fake::answer("too late")),
             ],
-            _ => fake::echo(seen),
+            _ => fake::echo(request),
         };
         let fake = fake::Fake::start(script).await;
         let nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
@@ -120,8 +123,8 @@
             assert_eq!(answer.header("dandelionspool-reason"), "timeout");
             let answer = rig::call(entry, rig::request("POST", "/orders", "next"), b"").await;
             assert_eq!(answer.text(), "answer to next");
-            let seen = fake.seen();
-            let [.., late, next] = seen.as_slice() else { panic!("{seen:?}") };
+            let requests = fake.requests();
+            let [.., late, next] = requests.as_slice() else { panic!("{requests:?}") };
             assert_ne!(late.conn, next.conn);
         }
     });
@@ -130,8 +133,8 @@
 #[test]
 fn a_doubled_answer_reaches_no_other_call() {
     rig::run(async {
-        let script = |seen: &fake::Seen| {
-            let one = fake::answer(&format!("answer to {}", seen.header("x-request-id")));
+        let script = |request: &fake::Request| {
+            let one = fake::answer(&format!("answer to {}", request.header("x-request-id")));
             vec![Step::Write([one.clone(), one].concat())]
         };
         let fake = fake::Fake::start(script).await;
@@ -147,7 +150,7 @@
 #[test]
 fn a_connection_the_upstream_has_closed_is_not_used_for_a_call() {
     rig::run(async {
-        let script = |seen: &fake::Seen| [fake::echo(seen), vec![Step::Close]].concat();
+        let script = |request: &fake::Request| [fake::echo(request), vec![Step::Close]].concat();
         let fake = fake::Fake::start(script).await;
         let nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
         for number in 0..50 {
@@ -159,16 +162,16 @@
 }
 
 #[test]
-fn what_the_upstream_shed_is_not_run_and_tried_again() {
+fn a_call_that_the_upstream_shed_is_tried_again_and_may_end_as_not_run() {
     rig::run(async {
         let sheds = Cell::new(0);
-        let script = move |seen: &fake::Seen| {
+        let script = move |request: &fake::Request| {
             let shed = "HTTP/1.1 503 Service Unavailable\r\ndandelionspool-upstream: shed\r\n\
                         content-length: 0\r\n\r\n";
-            match seen.header("x-request-id").as_str() {
+            match request.header("x-request-id").as_str() {
                 "always" => vec![Step::Write(shed.into())],
                 _ if sheds.replace(sheds.get() + 1) == 0 => vec![Step::Write(shed.into())],
-                _ => fake::echo(seen),
+                _ => fake::echo(request),
             }
         };
         let fake = fake::Fake::start(script).await;
@@ -183,13 +186,13 @@
     });
 }
 
-/// The first attempt may have run, the second one did not: of the call nobody can say that it did
-/// not run.
+/// The first attempt may have run, and the second one did not run: the outcome of the call is
+/// unknown.
 #[test]
-fn a_call_that_may_have_run_is_not_told_not_to_have() {
+fn a_call_that_may_have_run_is_not_answered_as_not_run() {
     rig::run(async {
         let tries = Cell::new(0);
-        let script = move |_: &fake::Seen| {
+        let script = move |_: &fake::Request| {
             let shed = "HTTP/1.1 503 Service Unavailable\r\ndandelionspool-upstream: shed\r\n\
                         content-length: 0\r\n\r\n";
             match tries.replace(tries.get() + 1) {
@@ -206,9 +209,9 @@
 }
 
 #[test]
-fn an_upstream_can_not_speak_for_the_mesh() {
+fn headers_of_the_mesh_in_an_upstreams_answer_are_removed() {
     rig::run(async {
-        let script = |_: &fake::Seen| {
+        let script = |_: &fake::Request| {
             let text = "HTTP/1.1 503 Service Unavailable\r\ndandelionspool-outcome: not-run\r\n\
                         connection: x-hop\r\nx-hop: 1\r\nx-kept: 1\r\ncontent-length: 4\r\n\r\nbusy";
             vec![Step::Write(text.into())]
--- a/tests/calls/drain.rs
+++ b/tests/calls/drain.rs
@@ -1,4 +1,4 @@
-//! Planned stops of nodes and upstreams, and changes of configuration under calls.
+//! Planned stops of nodes and upstreams, and configuration changes while calls are in flight.
 
 use std::sync::Arc;
 use std::time;
@@ -16,16 +16,18 @@
 use crate::fake::Step;
 use crate::rig;
 
-fn slowly(seen: &fake::Seen) -> Vec<Step> {
-    match seen.header("x-request-id").as_str() {
-        "quick" => fake::echo(seen),
-        // Longer than the last connections may take to close.
-        "long" => [vec![Step::Wait(time::Duration::from_millis(2800))], fake::echo(seen)].concat(),
-        _ => [vec![Step::Wait(time::Duration::from_millis(300))], fake::echo(seen)].concat(),
+fn slow_echo(request: &fake::Request) -> Vec<Step> {
+    match request.header("x-request-id").as_str() {
+        "quick" => fake::echo(request),
+        // Longer than open connections may take to close.
+        "long" => {
+            [vec![Step::Wait(time::Duration::from_millis(2800))], fake::echo(request)].concat()
+        }
+        _ => [vec![Step::Wait(time::Duration::from_millis(300))], fake::echo(request)].concat(),
     }
 }
 
-/// Sets how far all nodes are in their life.
+/// Sets the stage of all nodes.
 fn stop(nodes: &[rig::Node], stage: node::Stage) {
     for node in nodes {
         node.stage.send_replace(stage);
@@ -35,9 +37,9 @@
 #[test]
 fn a_planned_stop_cuts_no_call_and_answers_the_others() {
     rig::run(async {
-        let fake = fake::Fake::start(slowly).await;
+        let fake = fake::Fake::start(slow_echo).await;
         let mut nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
-        // The entry and the upstream's node both stop while a call is in flight.
+        // The entry node and the owner node both stop while a call is in flight.
         let call = rig::call(&nodes[0], rig::request("POST", "/orders", "long"), b"");
         let halt = async {
             rig::until(|| fake.runs("long") == 1).await;
@@ -51,17 +53,17 @@
         let (answer, ()) = tokio::join!(call, halt);
         assert_eq!((answer.outcome(), answer.text()), ("ran", "answer to long"));
         for node in &mut nodes {
-            let ended = tokio::time::timeout(rig::PATIENCE, &mut node.task).await;
+            let ended = tokio::time::timeout(rig::WAIT_TIMEOUT, &mut node.task).await;
             ended.unwrap().unwrap().unwrap();
         }
-        assert_eq!(fake.seen().len(), 1);
+        assert_eq!(fake.requests().len(), 1);
     });
 }
 
 #[test]
-fn a_request_on_its_way_when_the_last_call_ends_is_still_answered() {
+fn a_request_that_arrives_just_after_the_last_call_ends_is_still_answered() {
     rig::run(async {
-        let fake = fake::Fake::start(slowly).await;
+        let fake = fake::Fake::start(slow_echo).await;
         let nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
         let call = rig::call(&nodes[0], rig::request("POST", "/orders", "long"), b"");
         let mut stream = None;
@@ -70,9 +72,9 @@
             stop(&nodes[..1], node::Stage::Drain);
             stream = Some(net::TcpStream::connect(nodes[0].id.call_addr()).await.unwrap());
         };
-        let (whole, ()) = tokio::join!(call, halt);
-        assert_eq!(whole.outcome(), "ran");
-        // Nothing is in flight now, so that the node closes its port.
+        let (finished, ()) = tokio::join!(call, halt);
+        assert_eq!(finished.outcome(), "ran");
+        // No call is in flight any more, so the node closes its port.
         tokio::time::sleep(time::Duration::from_millis(20)).await;
         let mut stream = stream.unwrap();
         stream.write_all(b"GET /lists HTTP/1.1\r\nhost: a.example\r\n\r\n").await.unwrap();
@@ -83,14 +85,13 @@
     });
 }
 
-/// Eight tenths of a second are left when the call comes, or when the stop begins; its upstream never
-/// answers and its caller would wait for five.
+/// The stop takes 800 ms in total. The upstream never answers, and the caller would wait for 5 s.
 #[rstest]
 #[case::the_stop_begins_first(0, 20)]
 #[case::the_call_comes_first(50, 0)]
 fn a_call_is_answered_before_a_stop_ends(#[case] stop_after: u64, #[case] call_after: u64) {
     rig::run(async {
-        let fake = fake::Fake::start(|_: &fake::Seen| vec![Step::Gone]).await;
+        let fake = fake::Fake::start(|_: &fake::Request| vec![Step::AwaitClose]).await;
         let stop = configs::stop::Stop { serve_ms: 300, drain_ms: 500, ..Default::default() };
         let change = |settings| configs::Node { stop: stop.clone(), ..settings };
         let claims = rig::Claims::default();
@@ -113,7 +114,7 @@
 #[test]
 fn a_draining_entry_takes_no_new_call_although_its_upstreams_would() {
     rig::run(async {
-        let fake = fake::Fake::start(slowly).await;
+        let fake = fake::Fake::start(slow_echo).await;
         let nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
         let call = rig::call(&nodes[0], rig::request("POST", "/orders", "r1"), b"");
         let halt = async {
@@ -121,9 +122,9 @@
             stop(&nodes[..1], node::Stage::Drain);
             rig::call(&nodes[0], rig::request("POST", "/orders", "r2"), b"").await
         };
-        let (whole, late) = tokio::join!(call, halt);
-        assert_eq!((whole.outcome(), late.outcome()), ("ran", "not-run"));
-        assert_eq!((late.header("dandelionspool-reason"), fake.seen().len()), ("draining", 1));
+        let (finished, late) = tokio::join!(call, halt);
+        assert_eq!((finished.outcome(), late.outcome()), ("ran", "not-run"));
+        assert_eq!((late.header("dandelionspool-reason"), fake.requests().len()), ("draining", 1));
     });
 }
 
@@ -136,8 +137,8 @@
         let upstreams = [None, Some(leaving.address), Some(staying.address)];
         let nodes = rig::nodes(&upstreams, &claims).await;
         rig::call(&nodes[0], rig::request("POST", "/orders", "r"), b"").await;
-        let before = leaving.seen().len();
-        // Only the owner knows: the upstream said so to its own node.
+        let before = leaving.requests().len();
+        // Only the owner node has been notified by the upstream.
         let mut upstream = rig::shop(4);
         upstream.phase = view::Phase::Draining;
         let local =
@@ -149,12 +150,12 @@
             let reason = answer.header("dandelionspool-reason");
             assert_eq!((answer.outcome(), staying.runs(&id)), ("ran", 1), "{id}: {reason}");
         }
-        assert_eq!(leaving.seen().len(), before);
+        assert_eq!(leaving.requests().len(), before);
     });
 }
 
-/// Guards against calls that are refused although an upstream serves, since each goes to the leaving one first
-/// and so uses up the budget of extra attempts.
+/// Guards against calls that are refused although one upstream still serves: if each call tried the
+/// leaving upstream first, it would use up the retry budget.
 #[test]
 fn calls_are_served_while_one_upstream_is_slow_and_the_other_one_leaves() {
     rig::run(async {
@@ -166,7 +167,8 @@
         let upstream = view::Upstream { phase: view::Phase::Draining, ..rig::shop(4) };
         let (address, instance) = (leaving.address, Default::default());
         nodes[1].local.send_replace(Some(Arc::new(node::Local { address, instance, upstream })));
-        // Nothing runs for half a second but for a moment now and then: the first call there takes long.
+        // Blocks the runtime for most of half a second, so that the first call to the other
+        // upstream is slow.
         tokio::task::spawn_local(async {
             for _ in 0..8 {
                 std::thread::sleep(time::Duration::from_millis(60));
@@ -186,7 +188,7 @@
 #[case::gone(None)]
 #[case::of_another_service(Some(view::Upstream { service: "other".into(), ..rig::shop(4) }))]
 #[case::of_another_class(Some(view::Upstream { class: "other".into(), ..rig::shop(4) }))]
-fn an_upstream_that_is_not_what_was_picked_is_refused_at_its_node(
+fn a_call_for_an_upstream_that_has_changed_is_refused_at_the_owner_node(
     #[case] upstream: Option<view::Upstream>,
 ) {
     rig::run(async {
@@ -203,14 +205,14 @@
         let answer = rig::call(&nodes[0], rig::request("POST", "/orders", "r1"), b"").await;
         assert_eq!((answer.status, answer.outcome()), (503, "not-run"));
         assert_eq!(answer.header("dandelionspool-reason"), "draining");
-        assert!(fake.seen().is_empty());
+        assert!(fake.requests().is_empty());
     });
 }
 
 #[test]
-fn a_long_answer_under_way_is_finished_before_the_stop() {
+fn a_long_answer_in_flight_is_finished_before_the_stop() {
     rig::run(async {
-        let script = |_: &fake::Seen| {
+        let script = |_: &fake::Request| {
             let mut steps =
                 vec![Step::Write(b"HTTP/1.1 200 OK\r\ncontent-length: 1000000\r\n\r\n".into())];
             for _ in 0..10 {
@@ -223,7 +225,7 @@
         let nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
         let call = rig::call(&nodes[0], rig::request("GET", "/browse", "r1"), b"");
         let halt = async {
-            rig::until(|| fake.seen().len() == 1).await;
+            rig::until(|| fake.requests().len() == 1).await;
             tokio::time::sleep(time::Duration::from_millis(60)).await;
             stop(&nodes, node::Stage::Drain);
         };
@@ -233,9 +235,9 @@
 }
 
 #[test]
-fn calls_are_whole_while_configurations_change() {
+fn calls_succeed_while_configurations_change() {
     rig::run(async {
-        let fake = fake::Fake::start(slowly).await;
+        let fake = fake::Fake::start(slow_echo).await;
         let nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
         let calls = (0..4).map(|number| {
             rig::call(&nodes[0], rig::request("POST", "/orders", &format!("r{number}")), b"")
@@ -255,7 +257,7 @@
 }
 
 #[test]
-fn a_node_without_a_configuration_says_so() {
+fn a_node_without_a_configuration_answers_not_ready() {
     rig::run(async {
         let nodes = rig::nodes(&[None], &rig::Claims::default()).await;
         nodes[0].applied.send_replace(Arc::<mesh::Applied>::default());
@@ -269,10 +271,10 @@
 #[test]
 fn each_call_is_counted_once_at_its_entry() {
     rig::run(async {
-        let script = |seen: &fake::Seen| match seen.header("x-request-id").as_str() {
+        let script = |request: &fake::Request| match request.header("x-request-id").as_str() {
             "cut" => vec![Step::Close],
             "broken" => vec![Step::Write(b"HTTP/1.1 500 Oops\r\ncontent-length: 0\r\n\r\n".into())],
-            _ => fake::echo(seen),
+            _ => fake::echo(request),
         };
         let fake = fake::Fake::start(script).await;
         let mut nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
@@ -300,14 +302,14 @@
     });
 }
 
-/// An upstream that starts again behind a cut never answers what its life before was sent, and no
-/// reset says so.
+/// An upstream that restarts while the network is cut never answers what its previous process was
+/// sent, and the node receives no reset of the connections.
 #[test]
-fn calls_of_a_life_that_has_ended_give_their_slots_back_at_once() {
+fn calls_of_a_previous_incarnation_free_their_slots_at_once() {
     rig::run(async {
-        let silent = |seen: &fake::Seen| match seen.header("x-request-id").as_str() {
-            "lost" => vec![Step::Gone],
-            _ => fake::echo(seen),
+        let silent = |request: &fake::Request| match request.header("x-request-id").as_str() {
+            "lost" => vec![Step::AwaitClose],
+            _ => fake::echo(request),
         };
         let fake = fake::Fake::start(silent).await;
         let claims = rig::Claims::default();
@@ -330,11 +332,11 @@
     });
 }
 
-/// An upstream that leaves finishes what it has while the next one announces itself in its place.
+/// An upstream that leaves finishes its calls while its successor has already announced itself.
 #[test]
-fn calls_of_an_instance_that_leaves_go_on_beside_the_next_one() {
+fn calls_of_an_instance_that_leaves_go_on_beside_its_successor() {
     rig::run(async {
-        let fake = fake::Fake::start(slowly).await;
+        let fake = fake::Fake::start(slow_echo).await;
         let nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
         let next = async {
             rig::until(|| fake.runs("other") == 1).await;
--- a/tests/calls/fake.rs
+++ b/tests/calls/fake.rs
@@ -1,4 +1,4 @@
-//! An upstream made of raw sockets that answers as a script says, and records what it was sent.
+//! A fake upstream on plain sockets: answers by a script and records the requests that it receives.
 
 use std::cell::RefCell;
 use std::net;
@@ -9,36 +9,36 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task;
 
-/// What the fake does after it has read a request.
+/// A step of the script that runs after a request was read.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// Writes these bytes.
+    /// Write these bytes.
     Write(Vec<u8>),
-    /// Waits.
+    /// Wait for this time.
     Wait(time::Duration),
-    /// Waits until the other end closes the connection, and records it.
-    Gone,
-    /// Closes the connection.
+    /// Wait until the peer closes the connection, and record that.
+    AwaitClose,
+    /// Close the connection.
     Close,
 }
 
-/// A request as the fake read it.
+/// A received request.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// First line and headers, as sent.
+pub struct Request {
+    /// Request line and headers, as sent.
     pub head: String,
-    /// Bytes of the body.
+    /// Number of bytes of the body received.
     pub body: usize,
-    /// Whether the body came to its marked end.
-    pub whole: bool,
+    /// Whether the body was received to its marked end.
+    pub complete: bool,
     /// Number of the connection.
     pub conn: usize,
-    /// Whether the other end closed the connection while the fake waited for it.
-    pub gone: bool,
+    /// Whether the peer closed the connection during [`Step::AwaitClose`].
+    pub closed: bool,
 }
 
-impl Seen {
-    /// The value of a header, empty when it is absent.
+impl Request {
+    /// The value of a header; empty if it is absent.
     pub fn header(&self, name: &str) -> String {
         let mut lines = self.head.lines().filter_map(|l| l.split_once(": "));
         let found = lines.find(|(n, _)| n.eq_ignore_ascii_case(name));
@@ -46,13 +46,13 @@
     }
 }
 
-type Script = Rc<dyn Fn(&Seen) -> Vec<Step>>;
+type Script = Rc<dyn Fn(&Request) -> Vec<Step>>;
 
-/// The upstream. Dropped, it closes everything.
+/// The upstream. Its connections are closed when it is dropped.
 pub struct Fake {
-    /// Where it takes calls.
+    /// Address of the listener.
     pub address: net::SocketAddr,
-    seen: Rc<RefCell<Vec<Seen>>>,
+    requests: Rc<RefCell<Vec<Request>>>,
     conns: Rc<RefCell<usize>>,
     task: task::JoinHandle<()>,
 }
@@ -64,21 +64,22 @@
 }
 
 impl Fake {
-    /// An upstream that follows `script` for each request, reading bodies in full speed.
-    pub async fn start(script: impl Fn(&Seen) -> Vec<Step> + 'static) -> Self {
-        Self::slow(time::Duration::ZERO, script).await
+    /// Starts an upstream that runs `script` for each request and reads bodies at full speed.
+    pub async fn start(script: impl Fn(&Request) -> Vec<Step> + 'static) -> Self {
+        Self::start_slow(time::Duration::ZERO, script).await
     }
 
-    /// The same, with a pause after each read of a body.
-    pub async fn slow(
+    /// Like [`Fake::start`], with a pause after each read of a body.
+    pub async fn start_slow(
         pause: time::Duration,
-        script: impl Fn(&Seen) -> Vec<Step> + 'static,
+        script: impl Fn(&Request) -> Vec<Step> + 'static,
     ) -> Self {
         let listener = TcpListener::bind((net::Ipv4Addr::LOCALHOST, 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (seen, conns) = (Rc::<RefCell<Vec<Seen>>>::default(), Rc::<RefCell<usize>>::default());
+        let (requests, conns) =
+            (Rc::<RefCell<Vec<Request>>>::default(), Rc::<RefCell<usize>>::default());
         let script: Script = Rc::new(script);
-        let (all, count) = (Rc::clone(&seen), Rc::clone(&conns));
+        let (all, count) = (Rc::clone(&requests), Rc::clone(&conns));
         let task = task::spawn_local(async move {
             let mut open = task::JoinSet::new();
             while let Ok((stream, _)) = listener.accept().await {
@@ -89,22 +90,26 @@
                 });
             }
         });
-        Self { address, seen, conns, task }
+        Self { address, requests, conns, task }
     }
 
-    /// Requests whose head was read, in order.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.seen.borrow().clone()
+    /// The requests whose head was received, in order.
+    pub fn requests(&self) -> Vec<Request> {
+        self.requests.borrow().clone()
     }
 
-    /// Connections accepted.
+    /// Number of connections accepted.
     pub fn conns(&self) -> usize {
         *self.conns.borrow()
     }
 
-    /// Requests with this identity that came whole.
+    /// Number of requests with this id that were received completely.
     pub fn runs(&self, id: &str) -> usize {
-        self.seen.borrow().iter().filter(|s| s.whole && s.header("x-request-id") == id).count()
+        self.requests
+            .borrow()
+            .iter()
+            .filter(|s| s.complete && s.header("x-request-id") == id)
+            .count()
     }
 }
 
@@ -112,24 +117,24 @@
     mut stream: TcpStream,
     conn: usize,
     pause: time::Duration,
-    all: &RefCell<Vec<Seen>>,
+    all: &RefCell<Vec<Request>>,
     script: &Script,
 ) -> std::io::Result<()> {
     let mut buffer = Vec::new();
     loop {
         let Some(head) = read_head(&mut stream, &mut buffer).await? else { return Ok(()) };
         let index = all.borrow().len();
-        all.borrow_mut().push(Seen { head, conn, ..Seen::default() });
+        all.borrow_mut().push(Request { head, conn, ..Request::default() });
         read_body(&mut stream, &mut buffer, pause, all, index).await?;
-        let seen = all.borrow()[index].clone();
-        for step in script(&seen) {
+        let request = all.borrow()[index].clone();
+        for step in script(&request) {
             match step {
                 Step::Write(bytes) => stream.write_all(&bytes).await?,
                 Step::Wait(time) => tokio::time::sleep(time).await,
                 Step::Close => return Ok(()),
-                Step::Gone => {
-                    let left = stream.read(&mut [0; 16]).await.map_or(0, |n| n);
-                    all.borrow_mut()[index].gone = left == 0;
+                Step::AwaitClose => {
+                    let read = stream.read(&mut [0; 16]).await.map_or(0, |n| n);
+                    all.borrow_mut()[index].closed = read == 0;
                     return Ok(());
                 }
             }
@@ -152,19 +157,19 @@
     }
 }
 
-/// Reads a body by its length, or by chunks, and counts it.
+/// Reads a body, sized or chunked, and counts its bytes.
 async fn read_body(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
     pause: time::Duration,
-    all: &RefCell<Vec<Seen>>,
+    all: &RefCell<Vec<Request>>,
     index: usize,
 ) -> std::io::Result<()> {
-    let seen = all.borrow()[index].clone();
-    let chunked = seen.header("transfer-encoding") == "chunked";
-    let mut left: usize = seen.header("content-length").parse().unwrap_or(0);
+    let request = all.borrow()[index].clone();
+    let chunked = request.header("transfer-encoding") == "chunked";
+    let mut remaining: usize = request.header("content-length").parse().unwrap_or(0);
     if chunked {
-        // The tests only look for the mark of the end.
+        // The chunks are not parsed, as only the end of the body matters to the tests.
         let mut tail = buffer.clone();
         loop {
             all.borrow_mut()[index].body += buffer.len();
@@ -180,7 +185,7 @@
             tokio::time::sleep(pause).await;
         }
     }
-    while left > 0 {
+    while remaining > 0 {
         if buffer.is_empty() {
             buffer.reserve(65_536);
             if stream.read_buf(buffer).await? == 0 {
@@ -190,21 +195,21 @@
                 tokio::time::sleep(pause).await;
             }
         }
-        let taken = left.min(buffer.len());
+        let taken = remaining.min(buffer.len());
         buffer.drain(..taken);
-        left -= taken;
+        remaining -= taken;
         all.borrow_mut()[index].body += taken;
     }
-    all.borrow_mut()[index].whole = true;
+    all.borrow_mut()[index].complete = true;
     Ok(())
 }
 
-/// A whole answer that names the request it belongs to in its body.
-pub fn echo(seen: &Seen) -> Vec<Step> {
-    vec![Step::Write(answer(&format!("answer to {}", seen.header("x-request-id"))))]
+/// A complete answer with the request's id in its body.
+pub fn echo(request: &Request) -> Vec<Step> {
+    vec![Step::Write(answer(&format!("answer to {}", request.header("x-request-id"))))]
 }
 
-/// A whole answer with the body `text`.
+/// A complete answer with the body `text`.
 pub fn answer(text: &str) -> Vec<u8> {
     format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{text}", text.len()).into_bytes()
 }
--- a/tests/calls/main.rs
+++ b/tests/calls/main.rs
@@ -1,11 +1,11 @@
-//! Calls through nodes' call paths in one process, with raw upstreams that misbehave.
+//! Calls through the call paths of several nodes in one process, with upstreams that misbehave.
 
-mod ahead;
 mod answers;
 mod drain;
 mod fake;
-mod keyed;
+mod idempotency;
 mod path;
+mod pipelining;
 mod pool;
 mod quarantine;
 mod requests;
--- a/tests/calls/path.rs
+++ b/tests/calls/path.rs
@@ -1,4 +1,4 @@
-//! The whole path, and refusals along it.
+//! The complete path of a call, and refusals on it.
 
 use rstest::rstest;
 
@@ -14,12 +14,12 @@
         assert_eq!((answer.status, answer.outcome()), (200, "ran"));
         assert_eq!(answer.text(), "answer to r1");
         assert_eq!(fake.runs("r1"), 1);
-        let seen = &fake.seen()[0];
-        assert!(seen.head.starts_with("GET /browse/1?a=b HTTP/1.1\r\n"), "{}", seen.head);
-        assert_eq!(seen.header("host"), "shop.test");
-        assert_eq!(seen.header("dandelionspool-attempt"), "1");
-        assert_eq!(seen.header("dandelionspool-depth"), "1");
-        assert!(seen.header("dandelionspool-deadline-ms").parse::<u64>().unwrap() <= 5000);
+        let request = &fake.requests()[0];
+        assert!(request.head.starts_with("GET /browse/1?a=b HTTP/1.1\r\n"), "{}", request.head);
+        assert_eq!(request.header("host"), "shop.test");
+        assert_eq!(request.header("dandelionspool-attempt"), "1");
+        assert_eq!(request.header("dandelionspool-depth"), "1");
+        assert!(request.header("dandelionspool-deadline-ms").parse::<u64>().unwrap() <= 5000);
     });
 }
 
@@ -30,7 +30,7 @@
         let nodes = rig::nodes(&[Some(fake.address)], &rig::Claims::default()).await;
         let answer = rig::call(&nodes[0], rig::request("POST", "/orders", "r1"), b"two").await;
         assert_eq!((answer.status, answer.outcome()), (200, "ran"));
-        assert_eq!((answer.text(), fake.seen()[0].body), ("answer to r1", 3));
+        assert_eq!((answer.text(), fake.requests()[0].body), ("answer to r1", 3));
     });
 }
 
@@ -50,12 +50,12 @@
         let answer = rig::call(&nodes[0], rig::request(method, path, "r1"), b"").await;
         assert_eq!((answer.status, answer.outcome()), (status, "not-run"));
         assert_eq!(answer.header("dandelionspool-reason"), reason);
-        assert!(fake.seen().is_empty());
+        assert!(fake.requests().is_empty());
     });
 }
 
 #[test]
-fn without_an_upstream_a_call_is_refused_with_a_time_to_come_back() {
+fn without_an_upstream_a_call_is_refused_with_a_retry_delay() {
     rig::run(async {
         let nodes = rig::nodes(&[None], &rig::Claims::default()).await;
         let answer = rig::call(&nodes[0], rig::request("GET", "/browse", "r1"), b"").await;
--- a/tests/calls/ahead.rs
+++ b/tests/calls/pipelining.rs
@@ -1,4 +1,4 @@
-//! Requests that a caller sends before the answers to those before them.
+//! Pipelining: a caller sends requests before it has received the answers to earlier ones.
 
 use std::time;
 
@@ -9,17 +9,17 @@
 use crate::fake::Step;
 use crate::rig;
 
-/// How long the upstream of these tests takes for a request whose id begins with `slow`.
+/// Run time at the upstream of a request whose id starts with `slow`.
 const SLOW: time::Duration = time::Duration::from_millis(300);
 
 fn get(id: &str, more: &str) -> String {
     format!("GET /browse HTTP/1.1\r\nhost: shop.test\r\nx-request-id: {id}\r\n{more}\r\n")
 }
 
-/// Answers at once, or after [`SLOW`] when the request's id begins with `slow`.
-fn script(seen: &fake::Seen) -> Vec<Step> {
-    let mut steps = fake::echo(seen);
-    if seen.header("x-request-id").starts_with("slow") {
+/// Answers at once, or after [`SLOW`] if the request's id starts with `slow`.
+fn script(request: &fake::Request) -> Vec<Step> {
+    let mut steps = fake::echo(request);
+    if request.header("x-request-id").starts_with("slow") {
         steps.insert(0, Step::Wait(SLOW));
     }
     steps
@@ -31,7 +31,7 @@
     (fake, nodes)
 }
 
-/// Sends `bytes` on a connection of its own and reads until `end` has come.
+/// Sends `bytes` on a new connection and reads until `end` was received.
 async fn send(node: &rig::Node, bytes: &str, end: &str) -> String {
     let mut stream = TcpStream::connect(node.id.call_addr()).await.unwrap();
     stream.write_all(bytes.as_bytes()).await.unwrap();
@@ -40,7 +40,7 @@
 
 async fn read(stream: &mut TcpStream, end: &str) -> String {
     let mut text = Vec::new();
-    let limit = tokio::time::Instant::now() + rig::PATIENCE;
+    let limit = tokio::time::Instant::now() + rig::WAIT_TIMEOUT;
     while !String::from_utf8_lossy(&text).contains(end) {
         let more = tokio::time::timeout_at(limit, stream.read_buf(&mut text)).await;
         if more.expect("answers in time").unwrap_or(0) == 0 {
@@ -50,14 +50,14 @@
     String::from_utf8_lossy(&text).into_owned()
 }
 
-/// The ids of the answers in `text`, in their order.
+/// The ids of the answers in `text`, in order.
 fn ids(text: &str) -> Vec<&str> {
     let lines = text.lines().filter_map(|l| l.split_once(": "));
     lines.filter(|(name, _)| *name == "x-request-id").map(|(_, id)| id).collect()
 }
 
 #[test]
-fn requests_sent_ahead_run_side_by_side_and_are_answered_in_order() {
+fn pipelined_requests_run_concurrently_and_are_answered_in_order() {
     rig::run(async {
         let (_fake, nodes) = started().await;
         let wanted = ["slow-1", "slow-2", "quick", "slow-3"];
@@ -66,13 +66,17 @@
             let start = time::Instant::now();
             let text = send(node, &requests, "answer to slow-3").await;
             assert_eq!(ids(&text), wanted, "{text}");
-            assert!(start.elapsed() < SLOW * 2, "one after the other: {:?}", start.elapsed());
+            assert!(
+                start.elapsed() < SLOW * 2,
+                "the requests ran sequentially: {:?}",
+                start.elapsed()
+            );
         }
     });
 }
 
 #[test]
-fn a_request_behind_the_last_one_is_not_taken() {
+fn a_request_after_one_that_closes_the_connection_is_ignored() {
     rig::run(async {
         let (fake, nodes) = started().await;
         let requests = [get("one", ""), get("slow-last", "connection: close\r\n"), get("no", "")];
@@ -86,14 +90,14 @@
 }
 
 #[test]
-fn a_broken_answer_ends_the_connection_and_does_not_look_whole() {
+fn a_broken_answer_ends_the_connection_and_does_not_look_complete() {
     rig::run(async {
-        let cut = |seen: &fake::Seen| match seen.header("x-request-id").as_str() {
+        let cut = |request: &fake::Request| match request.header("x-request-id").as_str() {
             "cut" => {
                 let head = "HTTP/1.1 200 OK\r\ncontent-length: 200000\r\n\r\n";
                 vec![Step::Write([head, &"a".repeat(100_000)].concat().into()), Step::Close]
             }
-            _ => script(seen),
+            _ => script(request),
         };
         let fake = fake::Fake::start(cut).await;
         let nodes = rig::nodes(&[Some(fake.address)], &rig::Claims::default()).await;
@@ -106,25 +110,25 @@
 }
 
 #[test]
-fn a_caller_that_leaves_takes_its_requests_with_it() {
+fn the_requests_of_a_caller_that_disconnects_are_cancelled() {
     rig::run(async {
-        let gone = |seen: &fake::Seen| match seen.header("x-request-id").as_str() {
-            "left-1" | "left-2" => vec![Step::Gone],
-            _ => script(seen),
+        let await_close = |request: &fake::Request| match request.header("x-request-id").as_str() {
+            "left-1" | "left-2" => vec![Step::AwaitClose],
+            _ => script(request),
         };
-        let fake = fake::Fake::start(gone).await;
+        let fake = fake::Fake::start(await_close).await;
         let nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
         let mut stream = TcpStream::connect(nodes[0].id.call_addr()).await.unwrap();
         let requests = [get("left-1", ""), get("left-2", "")].concat();
         stream.write_all(requests.as_bytes()).await.unwrap();
-        rig::until(|| fake.seen().len() == 2).await;
+        rig::until(|| fake.requests().len() == 2).await;
         drop(stream);
-        rig::until(|| fake.seen().iter().all(|seen| seen.gone)).await;
+        rig::until(|| fake.requests().iter().all(|request| request.closed)).await;
     });
 }
 
 #[test]
-fn a_refused_upload_is_answered_though_its_body_is_still_on_its_way() {
+fn a_refused_upload_is_answered_before_its_body_has_arrived() {
     rig::run(async {
         let fake = fake::Fake::start(script).await;
         let nodes = rig::nodes(&[Some(fake.address)], &rig::Claims::default()).await;
@@ -136,6 +140,6 @@
         stream.write_all(&vec![b'a'; 500_000]).await.unwrap();
         stream.write_all(get("next", "").as_bytes()).await.unwrap();
         let text = read(&mut stream, "answer to next").await;
-        assert!(ids(&text).contains(&"next"), "the connection goes on: {text}");
+        assert!(ids(&text).contains(&"next"), "the connection stays usable: {text}");
     });
 }
--- a/tests/calls/pool.rs
+++ b/tests/calls/pool.rs
@@ -1,4 +1,4 @@
-//! What arrives on an idle connection before the runtime has looked at it.
+//! Connections to the upstream: reuse, time-outs and resets.
 
 use std::io::{Read as _, Write as _};
 use std::net;
@@ -17,8 +17,8 @@
 
 const IDLE: time::Duration = time::Duration::from_secs(60);
 
-/// An upstream on a thread of its own, which goes on while the test's thread is kept busy. On its
-/// first connection, `later` follows the answer.
+/// Starts an upstream on its own thread, so that it runs while the test's thread is blocked. On its
+/// first connection, it sends `later` after the answer, or closes the connection if that is `None`.
 fn upstream(later: Option<&'static str>) -> net::SocketAddr {
     let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -31,7 +31,7 @@
             thread::sleep(time::Duration::from_millis(50));
             if let Some(later) = later.filter(|_| number == 0) {
                 stream.write_all(&fake::answer(later)).unwrap();
-                // Stays open until the other end closes it.
+                // Keeps the connection open until the peer closes it.
                 let _ = stream.read(&mut buffer);
             }
         }
@@ -39,39 +39,41 @@
     address
 }
 
-async fn ask(lease: &mut pool::Lease) -> Bytes {
+async fn call(lease: &mut pool::Lease) -> Bytes {
     let request = http::Request::builder().uri("/").header("host", "a");
     let answer = lease.send(request.body(upload::Upload::Buffered(None)).unwrap()).await.unwrap();
     answer.into_body().collect().await.unwrap().to_bytes()
 }
 
 #[rstest]
-#[case::an_answer_nobody_asked_for(Some("late"))]
-#[case::the_end_of_the_connection(None)]
-fn is_seen_before_the_next_call_goes_out(#[case] later: Option<&'static str>) {
+#[case::unexpected_answer(Some("late"))]
+#[case::connection_closed(None)]
+fn an_idle_connection_that_was_closed_or_has_input_is_not_reused(
+    #[case] later: Option<&'static str>,
+) {
     rig::run(async {
         let address = upstream(later);
         let pool = Rc::new(pool::Pool::new(IDLE));
         let mut lease = pool.acquire(address).await.unwrap();
-        assert_eq!(ask(&mut lease).await, "answer 0");
+        assert_eq!(call(&mut lease).await, "answer 0");
         lease.release();
         assert_eq!(pool.idle(), 1);
-        // The runtime has no chance to hear of what comes meanwhile.
+        // Blocks the runtime, so that it does not notice what arrives meanwhile.
         thread::sleep(time::Duration::from_millis(200));
         let mut lease = pool.acquire(address).await.unwrap();
-        assert_eq!(ask(&mut lease).await, "answer 1");
+        assert_eq!(call(&mut lease).await, "answer 1");
     });
 }
 
 #[test]
-fn an_upstream_that_takes_no_connection_is_given_up_soon() {
+fn an_upstream_that_accepts_no_connection_delays_calls_only_briefly() {
     rig::run(async {
         let fake = fake::Fake::start(fake::echo).await;
         let socket = tokio::net::TcpSocket::new_v4().unwrap();
         socket.bind((std::net::Ipv4Addr::LOCALHOST, 0).into()).unwrap();
         let silent = socket.listen(1).unwrap();
         let address = silent.local_addr().unwrap();
-        // Nobody accepts: the next connection waits like one to a host that is gone.
+        // Fills the backlog: further connection attempts hang, like those to a host that is gone.
         let mut kept = Vec::new();
         let limit = time::Duration::from_millis(100);
         while let Ok(Ok(stream)) =
@@ -92,13 +94,13 @@
 }
 
 #[test]
-fn a_call_that_is_given_up_takes_back_what_the_upstream_has_not_read() {
+fn what_the_upstream_has_not_read_of_a_cancelled_call_is_discarded() {
     let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (given_up, wait) = std::sync::mpsc::channel();
     let upstream = thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
-        // It reads only after the caller has left.
+        // Reads only after the caller has left.
         wait.recv().unwrap();
         let mut bytes = Vec::new();
         stream.read_to_end(&mut bytes).map(|_| bytes)
@@ -113,5 +115,5 @@
         given_up.send(()).unwrap();
     });
     let read = upstream.join().unwrap();
-    assert!(read.is_err(), "the upstream was given the call: {read:?}");
+    assert!(read.is_err(), "the upstream received the call: {read:?}");
 }
--- a/tests/calls/quarantine.rs
+++ b/tests/calls/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which upstreams end, on the call path.
+//! The quarantine on the call path: requests that crash upstreams.
 
 use std::collections;
 use std::sync::Arc;
@@ -14,20 +14,18 @@
 use crate::fake::Step;
 use crate::rig;
 
-fn print(path: &str) -> Fingerprint {
-    let printer = quarantine::Fingerprinter::new(&seal::Seal::new("calls", "secret"));
-    printer.fingerprint("GET", "shop.test", path, Body::Whole(b""))
+fn fingerprint(path: &str) -> Fingerprint {
+    let fingerprinter = quarantine::Fingerprinter::new(&seal::Seal::new("calls", "secret"));
+    fingerprinter.fingerprint("GET", "shop.test", path, Body::Whole(b""))
 }
 
-/// Has `node` know that `ends` upstreams ended under `path`, which is refused for it or not.
-async fn tell(node: &rig::Node, path: &str, ends: u8, refused: bool) {
-    let ban =
-        quarantine::Entry { crashes: ends, lifted: false, last: clock::Instant::from_millis(1) };
-    let bans = refused.then_some((print(path), ban)).into_iter().collect();
-    let ends = collections::HashMap::from([(print(path), ends)]);
-    node.quarantine
-        .snapshot
-        .send_replace(Arc::new(quarantine::Snapshot { entries: bans, crashes: ends }));
+/// Publishes to `node` that `crashes` upstreams crashed while a request for `path` ran, and that
+/// the request is quarantined, if it is `refused`.
+async fn publish(node: &rig::Node, path: &str, crashes: u8, refused: bool) {
+    let entry = quarantine::Entry { crashes, lifted: false, last: clock::Instant::from_millis(1) };
+    let entries = refused.then_some((fingerprint(path), entry)).into_iter().collect();
+    let crashes = collections::HashMap::from([(fingerprint(path), crashes)]);
+    node.quarantine.snapshot.send_replace(Arc::new(quarantine::Snapshot { entries, crashes }));
     tokio::time::sleep(time::Duration::from_millis(30)).await;
 }
 
@@ -36,19 +34,19 @@
 }
 
 #[rstest]
-#[case::its_entry(0)]
-#[case::the_upstreams_own_node(1)]
-fn whichever_node_knows_of_it_refuses_it(#[case] knows: usize) {
+#[case::entry_node(0)]
+#[case::owner_node(1)]
+fn either_node_refuses_a_quarantined_request(#[case] informed: usize) {
     rig::run(async move {
         let fake = fake::Fake::start(fake::echo).await;
         let nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
-        tell(&nodes[knows], "/browse?bad", 3, true).await;
+        publish(&nodes[informed], "/browse?bad", 3, true).await;
         let answer = browse(&nodes[0], "/browse?bad", "r1").await;
         assert_eq!((answer.status, answer.outcome()), (503, "not-run"));
         assert_eq!(answer.header("dandelionspool-reason"), "quarantined");
         let after: u64 = answer.header("retry-after").parse().unwrap();
         assert!((200..=600).contains(&after), "{after} s");
-        assert!(fake.seen().is_empty());
+        assert!(fake.requests().is_empty());
         assert_eq!(browse(&nodes[0], "/browse?good", "r2").await.outcome(), "ran");
     });
 }
@@ -57,39 +55,43 @@
 #[case::answered("200 OK", true)]
 #[case::not_found("404 Not Found", true)]
 #[case::failed("500 Internal Server Error", false)]
-#[case::given_up_in_time("504 Gateway Timeout", false)]
-fn an_answer_clears_a_request_of_which_something_is_known(
+#[case::timed_out("504 Gateway Timeout", false)]
+fn an_answer_to_a_suspected_request_is_reported_unless_it_failed(
     #[case] status: &'static str,
-    #[case] clears: bool,
+    #[case] reported: bool,
 ) {
     rig::run(async move {
-        let script = move |_: &fake::Seen| {
+        let script = move |_: &fake::Request| {
             let text = format!("HTTP/1.1 {status}\r\ncontent-length: 2\r\n\r\nok");
             vec![Step::Write(text.into_bytes())]
         };
         let fake = fake::Fake::start(script).await;
         let mut nodes = rig::nodes(&[Some(fake.address)], &rig::Claims::default()).await;
-        tell(&nodes[0], "/browse?bad", 1, false).await;
+        publish(&nodes[0], "/browse?bad", 1, false).await;
         for (id, path) in [("r1", "/browse?good"), ("r2", "/browse?bad")] {
             assert_eq!(browse(&nodes[0], path, id).await.outcome(), "ran");
         }
         let report = nodes[0].quarantine.reports.try_recv().ok();
-        assert_eq!(report, clears.then(|| Report::Answered(print("/browse?bad"))));
+        assert_eq!(report, reported.then(|| Report::Answered(fingerprint("/browse?bad"))));
     });
 }
 
 #[test]
-fn an_end_tells_what_ran_but_for_what_was_answered_a_moment_ago() {
+fn a_crash_report_leaves_out_requests_that_were_answered_shortly_before() {
     rig::run(async {
-        let script = |seen: &fake::Seen| {
-            if seen.header("x-request-id") == "first" { fake::echo(seen) } else { vec![Step::Gone] }
+        let script = |request: &fake::Request| {
+            if request.header("x-request-id") == "first" {
+                fake::echo(request)
+            } else {
+                vec![Step::AwaitClose]
+            }
         };
         let fake = fake::Fake::start(script).await;
         let mut nodes = rig::nodes(&[Some(fake.address)], &rig::Claims::default()).await;
         let first = browse(&nodes[0], "/browse?popular", "first").await;
         assert_eq!(first.outcome(), "ran");
         let crash = async {
-            rig::until(|| fake.seen().len() == 4).await;
+            rig::until(|| fake.requests().len() == 4).await;
             drop(fake);
         };
         let (popular, bad, _, ()) = tokio::join!(
@@ -99,29 +101,30 @@
             crash
         );
         assert_eq!((popular.outcome(), bad.outcome()), ("unknown", "unknown"));
-        let Some(Report::Crashed(mut prints)) = nodes[0].quarantine.reports.recv().await else {
-            panic!("an end was to be told")
+        let Some(Report::Crashed(mut fingerprints)) = nodes[0].quarantine.reports.recv().await
+        else {
+            panic!("expected the report of a crash")
         };
-        let mut wanted = [print("/browse?bad"), print("/browse?other")];
-        prints.sort_unstable();
+        let mut wanted = [fingerprint("/browse?bad"), fingerprint("/browse?other")];
+        fingerprints.sort_unstable();
         wanted.sort_unstable();
-        assert_eq!(prints, wanted);
+        assert_eq!(fingerprints, wanted);
     });
 }
 
 #[test]
-fn two_requests_that_may_end_an_upstream_do_not_run_beside_each_other() {
+fn two_suspected_requests_do_not_run_concurrently() {
     rig::run(async {
-        let script = |seen: &fake::Seen| {
+        let script = |request: &fake::Request| {
             let wait = Step::Wait(time::Duration::from_millis(200));
-            [vec![wait], fake::echo(seen)].concat()
+            [vec![wait], fake::echo(request)].concat()
         };
         let fake = fake::Fake::start(script).await;
         let nodes = rig::nodes(&[Some(fake.address)], &rig::Claims::default()).await;
-        let ends =
-            ["/browse?a", "/browse?b"].map(|path| (print(path), quarantine::SUSPICION_THRESHOLD));
-        let known = quarantine::Snapshot { crashes: ends.into(), ..Default::default() };
-        nodes[0].quarantine.snapshot.send_replace(Arc::new(known));
+        let crashes = ["/browse?a", "/browse?b"]
+            .map(|path| (fingerprint(path), quarantine::SUSPICION_THRESHOLD));
+        let snapshot = quarantine::Snapshot { crashes: crashes.into(), ..Default::default() };
+        nodes[0].quarantine.snapshot.send_replace(Arc::new(snapshot));
         tokio::time::sleep(time::Duration::from_millis(30)).await;
         let later = async {
             rig::until(|| fake.runs("a") == 1).await;
--- a/tests/calls/requests.rs
+++ b/tests/calls/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that are malformed, too large, in a hurry, or from strangers.
+//! Requests that are malformed, too large, late, or from unauthenticated peers.
 
 use std::convert;
 use std::time;
@@ -16,7 +16,7 @@
 use crate::fake::Step;
 use crate::rig;
 
-/// Sends `head` as it is and gives what comes back until the connection closes.
+/// Sends `head` unchanged and returns what is received until the connection closes, or for 500 ms.
 async fn raw(node: &rig::Node, head: &str) -> String {
     let mut stream = TcpStream::connect(node.id.call_addr()).await.unwrap();
     stream.write_all(head.as_bytes()).await.unwrap();
@@ -46,7 +46,7 @@
         let nodes = rig::nodes(&[Some(fake.address)], &rig::Claims::default()).await;
         let answer = raw(&nodes[0], head).await;
         assert!(answer.starts_with("HTTP/1.1 400 "), "{answer}");
-        assert!(fake.seen().is_empty());
+        assert!(fake.requests().is_empty());
     });
 }
 
@@ -64,12 +64,12 @@
             assert!(answer.contains("connection: close"), "{answer}");
             assert_eq!(answer.matches("HTTP/1.1").count(), 1, "{answer}");
         }
-        assert!(fake.seen().is_empty());
+        assert!(fake.requests().is_empty());
     });
 }
 
 #[test]
-fn heads_and_paths_have_a_largest_size() {
+fn heads_and_paths_are_limited_in_size() {
     rig::run(async {
         let fake = fake::Fake::start(fake::echo).await;
         let nodes = rig::nodes(&[Some(fake.address)], &rig::Claims::default()).await;
@@ -79,7 +79,7 @@
         let long = "x".repeat(40_000);
         let answer = raw(&nodes[0], &format!("GET /browse HTTP/1.1\r\nhost: a\r\nx: {long}")).await;
         assert!(answer.starts_with("HTTP/1.1 431 "), "{answer}");
-        assert!(fake.seen().is_empty());
+        assert!(fake.requests().is_empty());
     });
 }
 
@@ -91,14 +91,14 @@
         let body = [0; 1001];
         let answer = rig::call(&nodes[0], rig::request("POST", "/browse", "r1"), &body).await;
         assert_eq!((answer.status, answer.outcome()), (413, "not-run"));
-        assert!(fake.seen().is_empty());
+        assert!(fake.requests().is_empty());
         let answer = rig::call(&nodes[0], rig::request("POST", "/browse", "r2"), &body[1..]).await;
-        assert_eq!((answer.outcome(), fake.seen()[0].body), ("ran", 1000));
+        assert_eq!((answer.outcome(), fake.requests()[0].body), ("ran", 1000));
     });
 }
 
 #[test]
-fn a_body_found_to_be_too_large_on_the_way_is_unknown_and_never_whole() {
+fn a_streamed_body_that_is_too_large_is_unknown_and_never_complete() {
     rig::run(async {
         let fake = fake::Fake::start(fake::echo).await;
         let nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_body_that_the_caller_cuts_never_looks_whole() {
+fn a_body_that_the_caller_cuts_off_never_looks_complete() {
     rig::run(async {
         let fake = fake::Fake::start(fake::echo).await;
         let nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
@@ -131,18 +131,18 @@
                 stream.write_all(head.as_bytes()).await.unwrap();
                 stream.write_all(&[b'x'; 0x30000]).await.unwrap();
                 number += 1;
-                let came = || fake.seen().last().is_some_and(|s| s.body > 50_000);
-                rig::until(|| fake.seen().len() == number && came()).await;
+                let came = || fake.requests().last().is_some_and(|s| s.body > 50_000);
+                rig::until(|| fake.requests().len() == number && came()).await;
                 drop(stream);
                 tokio::time::sleep(time::Duration::from_millis(100)).await;
             }
         }
-        assert_eq!((fake.seen().len(), fake.runs("r1")), (4, 0));
+        assert_eq!((fake.requests().len(), fake.runs("r1")), (4, 0));
     });
 }
 
 #[test]
-fn a_call_without_time_is_refused_before_it_runs() {
+fn a_call_without_time_remaining_is_refused_before_it_runs() {
     rig::run(async {
         let fake = fake::Fake::start(fake::echo).await;
         let nodes = rig::nodes(&[Some(fake.address)], &rig::Claims::default()).await;
@@ -151,7 +151,7 @@
         let answer = rig::call(&nodes[0], request, b"").await;
         assert_eq!((answer.status, answer.outcome()), (503, "not-run"));
         assert_eq!(answer.header("dandelionspool-reason"), "too-late");
-        assert!(fake.seen().is_empty());
+        assert!(fake.requests().is_empty());
     });
 }
 
@@ -165,7 +165,7 @@
         };
         let answer = rig::call(&nodes[0], request("8"), b"").await;
         assert_eq!(
-            (answer.outcome(), fake.seen()[0].header("dandelionspool-depth")),
+            (answer.outcome(), fake.requests()[0].header("dandelionspool-depth")),
             ("ran", "9".into())
         );
         let answer = rig::call(&nodes[0], request("99"), b"").await;
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn hop_by_hop_headers_and_words_of_the_mesh_stay_behind() {
+fn hop_by_hop_headers_and_headers_of_the_mesh_are_removed() {
     rig::run(async {
         let fake = fake::Fake::start(fake::echo).await;
         let nodes = rig::nodes(&[None, Some(fake.address)], &rig::Claims::default()).await;
@@ -189,16 +189,16 @@
             let answer = rig::call(entry, request, b"").await;
             assert_eq!(answer.outcome(), "ran");
         }
-        for seen in fake.seen() {
+        for request in fake.requests() {
             let names = ["x-hop", "te", "dandelionspool-weight", "dandelionspool-service"];
-            assert!(names.iter().all(|n| seen.header(n).is_empty()), "{}", seen.head);
-            assert_eq!(seen.header("x-kept"), "1");
+            assert!(names.iter().all(|n| request.header(n).is_empty()), "{}", request.head);
+            assert_eq!(request.header("x-kept"), "1");
         }
     });
 }
 
 #[test]
-fn a_stranger_gets_nothing_from_the_port_between_nodes() {
+fn an_unauthenticated_peer_gets_no_answer_on_the_port_for_nodes() {
     rig::run(async {
         let fake = fake::Fake::start(fake::echo).await;
         let nodes = rig::nodes(&[Some(fake.address)], &rig::Claims::default()).await;
@@ -217,12 +217,12 @@
             .unwrap();
         assert!(send.send_request(request).await.is_err());
         rig::until(|| conn.is_finished()).await;
-        assert!(fake.seen().is_empty());
+        assert!(fake.requests().is_empty());
     });
 }
 
 #[test]
-fn a_node_with_another_key_gets_nothing() {
+fn a_node_with_another_key_is_rejected() {
     rig::run(async {
         let fake = fake::Fake::start(fake::echo).await;
         let claims = rig::Claims::default();
@@ -237,7 +237,7 @@
         let answer = rig::call(&nodes[1], rig::request("POST", "/orders", "r1"), b"").await;
         assert_eq!((answer.status, answer.outcome()), (503, "not-run"));
         assert_eq!(answer.header("dandelionspool-reason"), "unreachable");
-        assert!(fake.seen().is_empty());
+        assert!(fake.requests().is_empty());
     });
 }
 
@@ -256,12 +256,11 @@
                 assert_ne!(stream.read_buf(&mut text).await.unwrap(), 0);
             }
         }
-        // One call after the other: the upstream sees one connection, too.
+        // The calls are sequential, so the upstream's connection is reused, too.
         assert_eq!(fake.conns(), 1);
     });
 }
 
-/// Steps are also used by other files of this test.
 #[test]
 fn expect_continue_is_answered() {
     rig::run(async {
@@ -277,6 +276,6 @@
         stream.write_all(b"abc").await.unwrap();
         stream.read_exact(&mut buffer[..15]).await.unwrap();
         assert_eq!(&buffer[..15], b"HTTP/1.1 200 OK");
-        assert!(fake.seen()[0].header("expect").is_empty());
+        assert!(fake.requests()[0].header("expect").is_empty());
     });
 }
--- a/tests/calls/rig.rs
+++ b/tests/calls/rig.rs
@@ -1,4 +1,5 @@
-//! Nodes' call paths in one process, joined by hand-made views, and callers of them.
+//! Runs the call paths of several nodes in one process, with views of the mesh made by the test,
+//! and sends calls to them.
 
 use std::cell::RefCell;
 use std::collections;
@@ -35,12 +36,12 @@
 const PORT: u16 = 7100;
 const CONFIG: &str = include_str!("mesh.json");
 
-/// Longest a test waits for something to come about.
-pub const PATIENCE: time::Duration = time::Duration::from_secs(20);
+/// Maximum time for which a test waits for a condition.
+pub const WAIT_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 static NEXT: atomic::AtomicU16 = atomic::AtomicU16::new(1);
 
-/// A host address that no other test of this process or of another checkout uses.
+/// A host address that no other test of this process, or of another process, uses.
 pub fn address() -> net::SocketAddr {
     let pid = std::process::id();
     let number = NEXT.fetch_add(1, atomic::Ordering::Relaxed);
@@ -49,14 +50,14 @@
     net::SocketAddr::from(([127, 16 + c % 64, d, low], PORT))
 }
 
-/// What the claims of a test do.
+/// Claims in memory, shared by the nodes of a test.
 #[derive(Clone, Debug, Default)]
 pub struct Claims {
-    /// First claims.
+    /// The first claim of each key.
     pub first: Rc<RefCell<collections::HashMap<claim::Key, claim::Attempt>>>,
     /// Releases, in order.
     pub released: Rc<RefCell<Vec<claim::Attempt>>>,
-    /// When set, every claim fails with it.
+    /// The error with which every claim fails, if set.
     pub error: Rc<RefCell<Option<claim::Error>>>,
 }
 
@@ -72,8 +73,8 @@
             return Err(error);
         }
         let mut first = self.first.borrow_mut();
-        let won = *first.entry(key).or_insert(attempt);
-        Ok(if won == attempt { claim::Verdict::First } else { claim::Verdict::Taken(won) })
+        let winner = *first.entry(key).or_insert(attempt);
+        Ok(if winner == attempt { claim::Verdict::First } else { claim::Verdict::Taken(winner) })
     }
 
     fn release(&self, key: claim::Key, attempt: claim::Attempt) {
@@ -87,20 +88,20 @@
 
 /// A node's call path under test.
 pub struct Node {
-    /// Where it is.
+    /// The host of the node.
     pub id: host::HostId,
-    /// How far it is in its life.
+    /// The stage of the node, from running to its end.
     pub stage: watch::Sender<node::Stage>,
-    /// The upstream beside it.
+    /// The local upstream.
     pub local: watch::Sender<Option<Arc<node::Local>>>,
-    /// Usage that it counted.
+    /// Usage counted by the node.
     pub tallies: ring::Receiver<usage::Delta>,
     view: watch::Sender<Arc<view::View>>,
-    /// Its configuration.
+    /// The configuration of the node.
     pub applied: watch::Sender<Arc<mesh::Applied>>,
-    /// What it finds out, and is told, of requests under which upstreams end.
+    /// The membership duty's side of the quarantine: receives reports and publishes snapshots.
     pub quarantine: quarantine::MemberSide,
-    /// The duty; ends after a drain.
+    /// The calls duty; it ends after a drain.
     pub task: task::JoinHandle<Result<(), proxy::Error>>,
     upstream: Option<view::Upstream>,
 }
@@ -129,8 +130,8 @@
 pub fn applied(number: u64) -> Arc<mesh::Applied> {
     let mesh = mesh::check::check(CONFIG.as_bytes()).unwrap();
     let digest = version::Digest::of(CONFIG.as_bytes());
-    let stamp = version::VersionId { version: version::Version::new(number), digest };
-    Arc::new(mesh::Applied { version_id: stamp, mesh: Arc::new(mesh) })
+    let version_id = version::VersionId { version: version::Version::new(number), digest };
+    Arc::new(mesh::Applied { version_id, mesh: Arc::new(mesh) })
 }
 
 /// Settings of a node at `listen`.
@@ -145,12 +146,12 @@
     }
 }
 
-/// Nodes that know each other, each with an upstream at the given address or none.
+/// Starts nodes that know each other, each with an upstream at the given address or none.
 pub async fn nodes(upstreams: &[Option<net::SocketAddr>], claims: &Claims) -> Vec<Node> {
     nodes_with(upstreams, 4, claims, |settings| settings).await
 }
 
-/// The same, with `slots` at each upstream and changed settings.
+/// Like [`nodes`], with `slots` at each upstream and settings changed by `change`.
 pub async fn nodes_with(
     upstreams: &[Option<net::SocketAddr>],
     slots: u16,
@@ -168,12 +169,12 @@
     nodes
 }
 
-/// Tells each node of all, and waits until it has taken that into use.
+/// Publishes a view of all nodes to each of them, and waits until it is applied.
 pub async fn join(nodes: &[Node]) {
-    let place = Arc::new(view::Locality { region: "region".into(), zone: "zone".into() });
+    let locality = Arc::new(view::Locality { region: "region".into(), zone: "zone".into() });
     let hosts = nodes.iter().map(|node| view::Host {
         id: node.id,
-        locality: Arc::clone(&place),
+        locality: Arc::clone(&locality),
         incarnation: 1,
         health: view::Health::Alive,
         upstream: node.upstream.clone().map(Arc::new),
@@ -193,15 +194,15 @@
 ) -> Node {
     let id = host::HostId::new(settings.listen);
     let described = upstream.map(|_| shop(slots));
-    let beside = upstream.map(|address| {
+    let local_upstream = upstream.map(|address| {
         Arc::new(node::Local { address, instance: Default::default(), upstream: shop(slots) })
     });
     let (stage, stages) = watch::channel(node::Stage::Run);
-    let (local, locals) = watch::channel(beside);
+    let (local, locals) = watch::channel(local_upstream);
     let (view, views) = watch::channel(Arc::default());
     let (applied, versions) = watch::channel(applied(1));
     let (sender, tallies) = ring::bounded(64);
-    let (suspects, quarantine) = quarantine::channel();
+    let (call_side, quarantine) = quarantine::channel();
     let wiring = wiring::Wiring {
         applied: versions,
         view: views,
@@ -210,7 +211,7 @@
         tallies: sender,
         claims: claims.clone(),
         dialect: proxy::Dialect::default(),
-        quarantine: suspects,
+        quarantine: call_side,
         rollouts: Default::default(),
     };
     let ctx =
@@ -225,31 +226,31 @@
     task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// Waits until `done`.
+/// Waits until `done` is true.
 pub async fn until(done: impl Fn() -> bool) {
-    let limit = time::Instant::now() + PATIENCE;
+    let limit = time::Instant::now() + WAIT_TIMEOUT;
     while !done() {
-        assert!(time::Instant::now() < limit, "not within {PATIENCE:?}");
+        assert!(time::Instant::now() < limit, "the condition was not met within {WAIT_TIMEOUT:?}");
         tokio::time::sleep(time::Duration::from_millis(5)).await;
     }
 }
 
-/// An answer as a caller sees it.
+/// An answer as received by a caller.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
     pub headers: http::HeaderMap,
-    /// `None` when the body did not come to its marked end.
+    /// `None` if the body broke off before its marked end.
     pub body: Option<Bytes>,
 }
 
 impl Answer {
-    /// The value of a header, empty when it is absent.
+    /// The value of a header; empty if it is absent.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", |v| v.to_str().unwrap())
     }
 
-    /// What the caller is told.
+    /// The outcome of the call.
     pub fn outcome(&self) -> &str {
         self.header("dandelionspool-outcome")
     }
@@ -266,13 +267,13 @@
     builder.header("x-request-id", id)
 }
 
-/// Calls a node on a connection of its own.
+/// Calls a node on a new connection.
 pub async fn call(node: &Node, request: http::request::Builder, body: &[u8]) -> Answer {
     let request = request.body(Full::new(Bytes::copy_from_slice(body))).unwrap();
     send(node, request).await.unwrap()
 }
 
-/// The same with any body; fails when the connection ends without an answer.
+/// Like [`call`], with any body. Fails if the connection ends without an answer.
 pub async fn send<B>(node: &Node, request: http::Request<B>) -> hyper::Result<Answer>
 where
     B: hyper::body::Body<Data = Bytes> + 'static,
--- a/tests/calls/slots.rs
+++ b/tests/calls/slots.rs
@@ -13,12 +13,12 @@
 
 const LONG: time::Duration = time::Duration::from_secs(60);
 
-/// Never answers what has an identity that starts with "hang".
-fn hang(seen: &fake::Seen) -> Vec<Step> {
-    if seen.header("x-request-id").starts_with("hang") {
-        vec![Step::Gone]
+/// Never answers a request whose id starts with "hang".
+fn hang(request: &fake::Request) -> Vec<Step> {
+    if request.header("x-request-id").starts_with("hang") {
+        vec![Step::AwaitClose]
     } else {
-        fake::echo(seen)
+        fake::echo(request)
     }
 }
 
@@ -39,7 +39,7 @@
             rig::until(|| fake.runs(&id) == 1).await;
             conn.abort();
             pending.abort();
-            rig::until(|| fake.seen().last().is_some_and(|s| s.gone)).await;
+            rig::until(|| fake.requests().last().is_some_and(|s| s.closed)).await;
             let next = rig::request("POST", "/orders", "next");
             let next = next.header("dandelionspool-deadline-ms", "2000");
             let answer = rig::call(entry, next, b"").await;
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_deadline_frees_the_slot_and_is_told_from_a_call_that_waited() {
+fn a_deadline_frees_the_slot_and_a_call_that_only_waited_is_not_run() {
     rig::run(async {
         let fake = fake::Fake::start(hang).await;
         let claims = rig::Claims::default();
@@ -73,13 +73,13 @@
 #[test]
 fn no_more_calls_run_than_there_are_slots_and_the_rest_is_refused_at_once() {
     rig::run(async {
-        let script = |seen: &fake::Seen| {
-            [vec![Step::Wait(time::Duration::from_millis(300))], fake::echo(seen)].concat()
+        let script = |request: &fake::Request| {
+            [vec![Step::Wait(time::Duration::from_millis(300))], fake::echo(request)].concat()
         };
         let fake = fake::Fake::start(script).await;
         let claims = rig::Claims::default();
         let nodes = rig::nodes_with(&[None, Some(fake.address)], 2, &claims, |s| s).await;
-        // Two run, four wait, as the service's queue allows, and the others are refused.
+        // Two calls run, four wait, which is the service's queue limit, and the others are refused.
         let calls = (0..10).map(|number| {
             let request = rig::request("POST", "/orders", &format!("r{number}"));
             rig::call(&nodes[0], request, b"")
@@ -91,15 +91,15 @@
             assert_eq!((answer.status, answer.header("dandelionspool-reason")), (503, "full"));
             assert!(!answer.header("retry-after").is_empty());
         }
-        assert_eq!((fake.seen().len(), fake.conns()), (6, 2));
+        assert_eq!((fake.requests().len(), fake.conns()), (6, 2));
     });
 }
 
 #[test]
 fn a_heavier_kind_goes_first() {
     rig::run(async {
-        let script = |seen: &fake::Seen| {
-            [vec![Step::Wait(time::Duration::from_millis(50))], fake::echo(seen)].concat()
+        let script = |request: &fake::Request| {
+            [vec![Step::Wait(time::Duration::from_millis(50))], fake::echo(request)].concat()
         };
         let fake = fake::Fake::start(script).await;
         let claims = rig::Claims::default();
@@ -107,17 +107,17 @@
         let browse =
             |id: &'static str| rig::call(&nodes[0], rig::request("GET", "/browse", id), b"");
         let order = async {
-            rig::until(|| fake.seen().len() == 1).await;
+            rig::until(|| fake.requests().len() == 1).await;
             tokio::time::sleep(time::Duration::from_millis(10)).await;
             rig::call(&nodes[0], rig::request("POST", "/orders", "order"), b"").await
         };
         tokio::join!(browse("a"), browse("b"), browse("c"), order);
-        assert_eq!(fake.seen()[1].header("x-request-id"), "order");
+        assert_eq!(fake.requests()[1].header("x-request-id"), "order");
     });
 }
 
 #[test]
-fn an_upstream_that_is_not_there_is_proven_not_to_have_run() {
+fn a_call_to_an_upstream_that_is_not_there_is_proven_not_to_have_run() {
     rig::run(async {
         let dead = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let nodes = rig::nodes(&[None, Some(dead)], &rig::Claims::default()).await;
@@ -149,7 +149,7 @@
         let other = fake::Fake::start(fake::echo).await;
         let claims = rig::Claims::default();
         let nodes = rig::nodes(&[None, Some(fake.address), Some(other.address)], &claims).await;
-        // Each is used once, so that there is a connection to both.
+        // Enough calls to open a connection to both nodes.
         for number in 0..8 {
             rig::call(&nodes[0], rig::request("GET", "/browse", &format!("r{number}")), b"").await;
         }
@@ -157,7 +157,7 @@
             rig::call(&nodes[0], rig::request("GET", "/browse", &format!("hang{number}")), b"")
         });
         let kill = async {
-            rig::until(|| fake.seen().iter().any(|s| s.head.contains("hang"))).await;
+            rig::until(|| fake.requests().iter().any(|s| s.head.contains("hang"))).await;
             tokio::time::sleep(time::Duration::from_millis(20)).await;
             nodes[1].stage.send_replace(dandelionspool::node::Stage::End);
         };
@@ -169,18 +169,19 @@
     });
 }
 
-/// Two slots are taken, one of them by the call that makes the other; a caller's call came before.
+/// Both slots are taken, one of them by the parent of the nested call. Another call arrives before
+/// the nested one, which must get the next free slot nevertheless.
 #[test]
-fn what_a_running_call_waits_for_runs_before_new_work() {
+fn a_nested_call_runs_before_other_calls_that_wait() {
     rig::run(async {
-        let script = |seen: &fake::Seen| match seen.header("x-request-id").as_str() {
+        let script = |request: &fake::Request| match request.header("x-request-id").as_str() {
             "parent-0001" => {
-                [vec![Step::Wait(time::Duration::from_millis(500))], fake::echo(seen)].concat()
+                [vec![Step::Wait(time::Duration::from_millis(500))], fake::echo(request)].concat()
             }
             "before-0001" => {
-                [vec![Step::Wait(time::Duration::from_millis(150))], fake::echo(seen)].concat()
+                [vec![Step::Wait(time::Duration::from_millis(150))], fake::echo(request)].concat()
             }
-            _ => fake::echo(seen),
+            _ => fake::echo(request),
         };
         let fake = fake::Fake::start(script).await;
         let claims = rig::Claims::default();
@@ -191,36 +192,36 @@
         };
         let later = async {
             rig::until(|| fake.runs("parent-0001") == 1 && fake.runs("before-0001") == 1).await;
-            let made = async {
+            let nested = async {
                 tokio::time::sleep(time::Duration::from_millis(30)).await;
                 call(0, "parent-0001.1").await
             };
-            tokio::join!(call(1, "caller-0001"), made)
+            tokio::join!(call(1, "caller-0001"), nested)
         };
-        let (_, _, (caller, made)) =
+        let (_, _, (caller, nested)) =
             tokio::join!(call(0, "parent-0001"), call(0, "before-0001"), later);
-        assert_eq!((caller.outcome(), made.outcome()), ("ran", "ran"));
+        assert_eq!((caller.outcome(), nested.outcome()), ("ran", "ran"));
         let order: Vec<String> =
-            fake.seen().iter().skip(2).map(|seen| seen.header("x-request-id")).collect();
+            fake.requests().iter().skip(2).map(|request| request.header("x-request-id")).collect();
         assert_eq!(order, ["parent-0001.1", "caller-0001"]);
     });
 }
 
-/// Two upstreams lose each call named so. The burst is used up first; then 50 calls are served, which
-/// earn ten more attempts at a fifth each. Calls of a running call are not a service's own load: were
-/// they to earn, a service could be called again far beyond the share of its callers.
+/// Both upstreams drop calls whose id starts with `lost`. These calls use up the burst of the retry
+/// budget first. Then 50 calls are served, which earn ten retries at 20 % each. Nested calls must
+/// not earn any: otherwise a service could be retried far beyond the share that its callers allow.
 #[rstest]
-#[case::of_callers("caller", 8..=11)]
-#[case::of_a_running_call("parent-0001.", 0..=0)]
-fn only_calls_of_callers_earn_further_attempts(
+#[case::other_calls("caller", 8..=11)]
+#[case::nested_calls("parent-0001.", 0..=0)]
+fn nested_calls_earn_no_retries(
     #[case] served: &'static str,
     #[case] wanted: std::ops::RangeInclusive<usize>,
 ) {
     rig::run(async {
-        let script = |seen: &fake::Seen| match seen.header("x-request-id").as_str() {
+        let script = |request: &fake::Request| match request.header("x-request-id").as_str() {
             "parent-0001" => vec![Step::Wait(time::Duration::from_secs(4)), Step::Close],
             id if id.starts_with("lost") => vec![Step::Close],
-            _ => fake::echo(seen),
+            _ => fake::echo(request),
         };
         let (one, two) = (fake::Fake::start(script).await, fake::Fake::start(script).await);
         let claims = rig::Claims::default();
@@ -231,10 +232,10 @@
             rig::call(&nodes[0], request.header("dandelionspool-deadline-ms", "3000"), b"").await
         };
         let attempts = || {
-            let seen = [one.seen(), two.seen()].concat();
-            seen.iter().filter(|s| s.header("x-request-id").starts_with("lost")).count()
+            let requests = [one.requests(), two.requests()].concat();
+            requests.iter().filter(|s| s.header("x-request-id").starts_with("lost")).count()
         };
-        let lose = async |name: &str| {
+        let send_lost = async |name: &str| {
             let before = attempts();
             for number in 0..30 {
                 call(format!("lost-{name}-{number}")).await;
@@ -242,21 +243,21 @@
             attempts() - before - 30
         };
         let parent = async {
-            // Both nodes' upstreams run one of that name, so that the entry beside one knows it.
+            // One at each upstream, so that the entry node's own upstream runs one of them.
             tokio::join!(call("parent-0001".to_owned()), call("parent-0001".to_owned()))
         };
         let counted = async {
             rig::until(|| one.runs("parent-0001") >= 1).await;
-            lose("burst").await;
+            send_lost("burst").await;
             for number in 0..50 {
                 assert_eq!(call(format!("{served}{number:04}")).await.outcome(), "ran");
             }
-            lose("after").await
+            send_lost("after").await
         };
-        let further = tokio::select! {
-            further = counted => further,
+        let retries = tokio::select! {
+            retries = counted => retries,
             _ = parent => panic!("the calls take too long"),
         };
-        assert!(wanted.contains(&further), "{further} further attempts");
+        assert!(wanted.contains(&retries), "{retries} retries");
     });
 }
