--- a/src/proxy/frame/tests.rs
+++ b/src/proxy/frame/tests.rs
@@ -6,7 +6,7 @@
 const LIMITS: frame::Limits = frame::Limits { head: 256, fields: 8 };
 
 /// Lengths of the requests in `bytes`, which arrive in pieces of at most `piece` bytes.
-fn cut(bytes: &[u8], piece: usize) -> Result<Vec<usize>, frame::Fault> {
+fn request_lengths(bytes: &[u8], piece: usize) -> Result<Vec<usize>, frame::Fault> {
     let mut framer = frame::Framer::new(LIMITS);
     let (mut lengths, mut length) = (Vec::new(), 0);
     let (mut taken, mut seen) = (0, 0);
@@ -42,7 +42,11 @@
     let bytes = requests.concat();
     let wanted: Vec<usize> = requests.iter().map(|r| r.len()).collect();
     for piece in [1, 2, 3, 7, 50, bytes.len()] {
-        assert_eq!(cut(bytes.as_bytes(), piece).as_deref(), Ok(&wanted[..]), "pieces of {piece}");
+        assert_eq!(
+            request_lengths(bytes.as_bytes(), piece).as_deref(),
+            Ok(&wanted[..]),
+            "pieces of {piece}"
+        );
     }
 }
 
@@ -60,7 +64,7 @@
 #[case::folded("x: a\r\n content-length: 5")]
 fn a_body_of_ambiguous_length_is_refused(#[case] fields: &str) {
     let bytes = format!("POST /a HTTP/1.1\r\nhost: a\r\n{fields}\r\n\r\nhello");
-    assert_eq!(cut(bytes.as_bytes(), bytes.len()), Err(frame::Fault::Malformed));
+    assert_eq!(request_lengths(bytes.as_bytes(), bytes.len()), Err(frame::Fault::Malformed));
 }
 
 #[rstest]
@@ -72,7 +76,7 @@
 #[case::huge_size("ffffffffffffffff\r\nhello")]
 fn a_chunk_of_invalid_size_is_refused(#[case] chunk: &str) {
     let bytes = format!("POST /a HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n{chunk}");
-    assert_eq!(cut(bytes.as_bytes(), bytes.len()), Err(frame::Fault::Malformed));
+    assert_eq!(request_lengths(bytes.as_bytes(), bytes.len()), Err(frame::Fault::Malformed));
 }
 
 #[rstest]
@@ -83,7 +87,7 @@
     frame::Fault::Malformed
 )]
 fn bytes_that_are_no_request_are_refused(#[case] bytes: &str, #[case] fault: frame::Fault) {
-    assert_eq!(cut(bytes.as_bytes(), bytes.len()), Err(fault));
+    assert_eq!(request_lengths(bytes.as_bytes(), bytes.len()), Err(fault));
 }
 
 #[rstest]
@@ -91,13 +95,13 @@
 #[case::by_the_byte(1)]
 fn a_head_over_the_size_limit_is_refused(#[case] piece: usize) {
     let bytes = format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "a".repeat(LIMITS.head));
-    assert_eq!(cut(bytes.as_bytes(), piece), Err(frame::Fault::TooLarge));
+    assert_eq!(request_lengths(bytes.as_bytes(), piece), Err(frame::Fault::TooLarge));
 }
 
 #[test]
 fn a_head_with_too_many_fields_is_refused() {
     let bytes = format!("GET / HTTP/1.1\r\n{}\r\n", "a: b\r\n".repeat(LIMITS.fields + 1));
-    assert_eq!(cut(bytes.as_bytes(), bytes.len()), Err(frame::Fault::TooLarge));
+    assert_eq!(request_lengths(bytes.as_bytes(), bytes.len()), Err(frame::Fault::TooLarge));
 }
 
 #[rstest]
@@ -115,7 +119,7 @@
 proptest! {
     #[test]
     fn any_bytes_are_parsed_or_refused(bytes: Vec<u8>, piece in 1usize..64) {
-        if let Ok(lengths) = cut(&bytes, piece) {
+        if let Ok(lengths) = request_lengths(&bytes, piece) {
             prop_assert!(lengths.iter().sum::<usize>() <= bytes.len());
         }
     }
@@ -128,6 +132,7 @@
     ) {
         let length = body.len();
         let bytes = format!("POST / HTTP/1.1\r\ncontent-length: {length}\r\n\r\n{body}{tail}");
-        prop_assert_eq!(cut(bytes.as_bytes(), piece), cut(bytes.as_bytes(), bytes.len()));
+        let at_once = request_lengths(bytes.as_bytes(), bytes.len());
+        prop_assert_eq!(request_lengths(bytes.as_bytes(), piece), at_once);
     }
 }
--- a/src/proxy/versions.rs
+++ b/src/proxy/versions.rs
@@ -65,13 +65,13 @@
         with(&self.table.borrow())
     }
 
-    /// The side, old or new, that serves the next call for `service`.
+    /// Which versions serve the next call for `service`: all, those of the order, or the others.
     pub fn next(&self, service: &str, now: clock::Instant) -> rollout::Side {
         self.table.borrow_mut().next(service, now)
     }
 
-    /// The side that serves a call for `service` if `side` has no upstream; `None` if there is
-    /// none.
+    /// Which versions serve a call for `service` if those of `side` have no upstream; `None` if no
+    /// others may.
     pub fn fallback(&self, service: &str, side: rollout::Side) -> Option<rollout::Side> {
         self.table.borrow().instead(service, side)
     }
