--- a/src/admit/mod.rs
+++ b/src/admit/mod.rs
@@ -67,7 +67,7 @@
 
 impl Limits {
     /// Calls that may run at once.
-    pub const fn width(&self) -> usize {
+    pub const fn concurrency(&self) -> usize {
         let width = if self.slots < self.connections { self.slots } else { self.connections };
         width as usize
     }
@@ -103,7 +103,7 @@
     Resume,
     /// The upstream has started anew: what was learned of it says nothing of its next life.
     Restart,
-    /// Time passed; see [`Gate::wake`].
+    /// Time passed; see [`Gate::next_tick`].
     Tick,
 }
 
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -48,7 +48,7 @@
 
     /// Whether it goes to the new version of a roll-out, which is still under trial.
     pub fn is_trial(&self) -> bool {
-        self.choice.target.side == rollout::Side::New
+        self.choice.target.group == rollout::VersionGroup::New
     }
 
     /// Applies an event.
@@ -68,7 +68,8 @@
         let outcome = self.state.outcome().unwrap_or(unclear);
         let now = self.ctx.now();
         let latency = now.since(self.started);
-        let report = pick::Report { outcome, load: self.load, pace: self.relative_time, latency };
+        let report =
+            pick::Report { outcome, load: self.load, relative_time: self.relative_time, latency };
         self.picker.borrow_mut().ended(self.choice, &report, now);
         outcome
     }
--- a/src/proxy/call.rs
+++ b/src/proxy/call.rs
@@ -80,12 +80,16 @@
         class.map(|c| self.applied.mesh.class(c))
     }
 
-    /// The target to pick for `side`, in the keys of `current`, the configuration from which the
+    /// The target to pick for `group`, in the keys of `current`, the configuration from which the
     /// picker's table was built. `None` if that configuration lacks the service or class.
-    fn target(&self, current: &Arc<mesh::Applied>, side: rollout::Side) -> Option<pick::Target> {
+    fn target(
+        &self,
+        current: &Arc<mesh::Applied>,
+        group: rollout::VersionGroup,
+    ) -> Option<pick::Target> {
         if Arc::ptr_eq(&self.applied, current) {
             let class = self.class().and(self.route().class);
-            return Some(pick::Target { service: self.service, class, side });
+            return Some(pick::Target { service: self.service, class, group });
         }
         let mesh = &current.mesh;
         let service = mesh.services.iter().position(|s| s.name == self.service().name)?;
@@ -97,7 +101,7 @@
         Some(pick::Target {
             service: mesh::ServiceKey(key(service)?),
             class: class.and_then(key).map(mesh::ClassKey),
-            side,
+            group,
         })
     }
 
@@ -172,7 +176,7 @@
                 // The retry budget of a service is a share of its callers' calls. Nested calls may
                 // be three times as many and would raise the budget beyond that share.
                 if !call.nested {
-                    state.budget(call.service(), retry::Budget::served);
+                    state.budget(call.service(), retry::Budget::record_served);
                 }
                 return Ok(answer);
             }
@@ -218,17 +222,18 @@
     let facts = retry::Call {
         idempotent: call.kind().idempotent,
         attempt,
-        attempts: call.kind().attempts.unwrap_or(state.settings.call.attempts),
+        max_attempts: call.kind().attempts.unwrap_or(state.settings.call.attempts),
         depth: call.head.depth.max(u8::from(call.nested)),
-        outer: call.head.outer_attempt,
+        outer_attempt: call.head.outer_attempt,
         deadline: call.deadline,
-        answered: 0,
-        held: call.body.is_repeatable(),
+        answered_bytes: 0,
+        buffered: call.body.is_repeatable(),
         host: failed.host,
         retry_after: failed.refusal.retry_after,
     };
     let now = state.ctx.now();
-    state.budget(call.service(), |budget| retry::next(&facts, failed.refusal.outcome, budget, now))
+    state
+        .budget(call.service(), |budget| retry::decide(&facts, failed.refusal.outcome, budget, now))
 }
 
 /// Logs a failed attempt and whether another one follows.
@@ -279,7 +284,7 @@
     } else {
         remote(state, call, choice.host, request, resources).await
     };
-    record_old(state, call, choice.target.side, &result);
+    record_old(state, call, choice.target.group, &result);
     if let Ok(answer) = &result {
         let bytes = answer.body().size_hint();
         let bytes = bytes.exact().unwrap_or(bytes.lower());
@@ -301,22 +306,22 @@
 ) -> Option<pick::Choice> {
     let (now, service) = (state.ctx.now(), &call.service().name);
     let current = state.applied();
-    let pick = |side| {
-        let target = call.target(&current, side)?;
-        state.picker.borrow_mut().pick_far(target, transfer_cost, now, avoid)
+    let pick = |group| {
+        let target = call.target(&current, group)?;
+        state.picker.borrow_mut().pick_with_cost(target, transfer_cost, now, avoid)
     };
-    let side = state.rollouts.next(service, now);
-    pick(side).or_else(|| pick(state.rollouts.fallback(service, side)?))
+    let group = state.rollouts.next_group(service, now);
+    pick(group).or_else(|| pick(state.rollouts.fallback(service, group)?))
 }
 
 /// Records an answer of the old version of a service during a roll-out.
 fn record_old<C: claim::Claims>(
     state: &state::State<C>,
     call: &Call,
-    side: rollout::Side,
+    group: rollout::VersionGroup,
     result: &Result<http::Response<body::Reply>, refuse::Refusal>,
 ) {
-    if side != rollout::Side::Old {
+    if group != rollout::VersionGroup::Old {
         return;
     }
     if let Some(observation) = state.observation(&call.kind().name, result) {
@@ -330,7 +335,7 @@
     let bytes = call.body.bytes() + state.sizes.borrow().expected(&call.kind().name);
     let cross = if unit == 0 { 0.0 } else { bytes as f32 / unit as f32 };
     let link = inbound_link::link_time(&state.settings.proxy, bytes);
-    pick::TransferCost { cross, link, inner: call.nested }
+    pick::TransferCost { cross_zone: cross, link_us: link, inner: call.nested }
 }
 
 /// Replaces the reason of an unknown outcome by that of the request's body, if the body ended
--- a/src/proxy/owner.rs
+++ b/src/proxy/owner.rs
@@ -181,7 +181,7 @@
 fn find_upstream<C: claim::Claims>(
     state: &state::State<C>,
     spec: &call_spec::CallSpec<'_>,
-) -> Result<node::Local, refuse::Refusal> {
+) -> Result<node::LocalUpstream, refuse::Refusal> {
     // Another host may serve the call: the entry node treats an upstream that is gone or has
     // changed like one that drains.
     const NOT_HERE: refuse::Refusal = refuse::Refusal::not_run(retry::Reason::Draining);
@@ -230,7 +230,7 @@
 /// anything was sent, another one is used.
 async fn send<C: claim::Claims>(
     state: &state::State<C>,
-    local: &node::Local,
+    local: &node::LocalUpstream,
     mut request: http::Request<upload::Upload>,
     end: time::Instant,
 ) -> Result<(pool::Lease, http::Response<hyper::body::Incoming>), refuse::Refusal> {
@@ -285,7 +285,7 @@
 /// instance.
 fn add_headers(
     dialect: &dialect::Dialect,
-    local: &node::Local,
+    local: &node::LocalUpstream,
     remaining: Duration,
     map: &mut header::HeaderMap,
 ) {
--- a/src/proxy/quarantine_filter.rs
+++ b/src/proxy/quarantine_filter.rs
@@ -17,13 +17,13 @@
     me: host::HostId,
     side: quarantine::CallSide,
     snapshot: RefCell<Arc<quarantine::Snapshot>>,
-    proven: RefCell<quarantine::Proven>,
+    recent_answers: RefCell<quarantine::RecentAnswers>,
 }
 
 impl QuarantineFilter {
     /// A filter that refuses nothing yet; `side` leads to the membership duty of the host `me`.
     pub fn new(ctx: context::Context, me: host::HostId, side: quarantine::CallSide) -> Self {
-        Self { ctx, me, side, snapshot: RefCell::default(), proven: RefCell::default() }
+        Self { ctx, me, side, snapshot: RefCell::default(), recent_answers: RefCell::default() }
     }
 
     /// Applies the current state of the quarantine and waits for its next change. `false` when
@@ -36,7 +36,10 @@
     }
 
     fn apply(&self, snapshot: &Arc<quarantine::Snapshot>) {
-        self.side.counts.held.set(i64::try_from(snapshot.held()).unwrap_or(i64::MAX));
+        self.side
+            .counts
+            .quarantined
+            .set(i64::try_from(snapshot.quarantined_count()).unwrap_or(i64::MAX));
         self.snapshot.replace(Arc::clone(snapshot));
     }
 
@@ -99,7 +102,7 @@
 
     /// Records that the local upstream answered `fingerprint` and did not crash.
     pub fn answered(&self, fingerprint: quarantine::Fingerprint) {
-        self.proven.borrow_mut().note(fingerprint, self.ctx.now());
+        self.recent_answers.borrow_mut().record(fingerprint, self.ctx.now());
         if self.snapshot.borrow().is_suspected(fingerprint) {
             // If the ring is full, the report is dropped; the next answer repeats it.
             let _ = self.side.reports.offer(quarantine::Report::Answered(fingerprint));
@@ -110,11 +113,11 @@
     /// shortly before are left out, as they did not cause the crash.
     pub fn crashed(&self, fingerprints: &[quarantine::Fingerprint]) {
         self.side.counts.crashes.inc();
-        let (proven, now) = (self.proven.borrow(), self.ctx.now());
+        let (recent_answers, now) = (self.recent_answers.borrow(), self.ctx.now());
         let fingerprints = fingerprints
             .iter()
             .copied()
-            .filter(|fingerprint| !proven.has(*fingerprint, now))
+            .filter(|fingerprint| !recent_answers.contains(*fingerprint, now))
             .collect();
         if self.side.reports.offer(quarantine::Report::Crashed(fingerprints)).is_err() {
             log::warn!("dropped the report of an upstream's crash: the queue of reports is full");
--- a/src/proxy/resources.rs
+++ b/src/proxy/resources.rs
@@ -126,7 +126,7 @@
         match outcome {
             retry::Outcome::Ran => outcome,
             retry::Outcome::NotRun(reason) => attempt.end(retry::Event::Refused(reason)),
-            retry::Outcome::Unknown(reason) => attempt.end(retry::Event::Doubtful(reason)),
+            retry::Outcome::Unknown(reason) => attempt.end(retry::Event::PossiblyRan(reason)),
         }
     }
 
--- a/src/proxy/serve.rs
+++ b/src/proxy/serve.rs
@@ -100,7 +100,7 @@
     stream: TcpStream,
     closing: wiring::Closing,
 ) {
-    if let Err(error) = socket::tune(&stream) {
+    if let Err(error) = socket::configure(&stream) {
         log::debug!("can't set the socket options of a caller's connection: {error}");
         return;
     }
@@ -127,7 +127,7 @@
     mut closing: wiring::Closing,
 ) {
     let proxy = &state.settings.proxy;
-    if let Err(error) = socket::tune(&stream) {
+    if let Err(error) = socket::configure(&stream) {
         log::debug!("can't set the socket options of a node's connection: {error}");
         return;
     }
--- a/src/proxy/shell.rs
+++ b/src/proxy/shell.rs
@@ -86,7 +86,7 @@
         () = closed => {}
     }
     drop(followers);
-    state.tally.borrow_mut().hand(&wiring.tallies);
+    state.tally.borrow_mut().flush(&wiring.tallies);
     Ok(())
 }
 
@@ -200,7 +200,7 @@
     let mut maintenance = tokio::time::interval(MAINTENANCE_INTERVAL);
     loop {
         tokio::select! {
-            _ = flush.tick() => state.tally.borrow_mut().hand(&tallies),
+            _ = flush.tick() => state.tally.borrow_mut().flush(&tallies),
             _ = maintenance.tick() => {
                 let address = state.local.borrow().as_ref().map(|l| l.address);
                 state.pool.close_idle(address);
--- a/src/proxy/slots.rs
+++ b/src/proxy/slots.rs
@@ -182,7 +182,7 @@
     /// Delay after which a slot may be free for a call that was admitted and then shed.
     pub fn retry_delay(&self) -> time::Duration {
         let ticket = admit::Ticket(self.next.replace(self.next.get() + 1));
-        self.gate.borrow().pause(ticket, self.ctx.now())
+        self.gate.borrow().retry_after(ticket, self.ctx.now())
     }
 
     /// The upstream's load.
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -64,7 +64,7 @@
     /// Claims idempotency keys.
     pub claims: C,
     /// The local upstream, the one beside this node.
-    pub local: watch::Receiver<Option<Arc<node::Local>>>,
+    pub local: watch::Receiver<Option<Arc<node::LocalUpstream>>>,
     /// The hosts of the mesh.
     pub view: watch::Receiver<Arc<view::View>>,
     /// The stage of the process, from running to its end.
@@ -137,7 +137,7 @@
             view::Locality { region: settings.region.clone(), zone: settings.zone.clone() };
         let mut picker = pick::Picker::new(locality, &settings.call, ctx.seed_for("pick"));
         if settings.proxy.link_mbps > 0.0 {
-            picker = picker.at(me);
+            picker = picker.with_host(me);
         }
         let seal = seal::Seal::new(&settings.mesh, &settings.key);
         let crashes = Rc::<crash_detector::CrashDetector>::default();
@@ -332,7 +332,7 @@
         }
         match budgets.get_mut(&service.name) {
             Some(budget) => {
-                budget.limit(service.retries, burst);
+                budget.set_limits(service.retries, burst);
                 with(budget)
             }
             None => with(&mut retry::Budget::new(0, 0)),
@@ -387,7 +387,7 @@
     /// is the same, it has restarted: its connections are closed, as calls of the previous process
     /// would otherwise hold their slots until their deadline. Calls of another instance, which may
     /// be leaving, go on.
-    fn reset_if_restarted(&self, local: &node::Local) {
+    fn reset_if_restarted(&self, local: &node::LocalUpstream) {
         let now = (local.instance.clone(), local.upstream.incarnation);
         let Some((instance, incarnation)) = self.last_upstream.replace(Some(now)) else { return };
         if incarnation == local.upstream.incarnation {
@@ -401,7 +401,7 @@
 
     /// Refuses the calls that wait for an upstream that is leaving, and admits calls again for its
     /// successor.
-    fn update_admission(&self, local: Option<&node::Local>) {
+    fn update_admission(&self, local: Option<&node::LocalUpstream>) {
         let leaving = local.is_some_and(|l| l.upstream.phase == view::Phase::Draining);
         if leaving || self.is_draining() {
             self.slots.drain();
--- a/src/proxy/trace.rs
+++ b/src/proxy/trace.rs
@@ -197,7 +197,7 @@
             running = ran.load.running,
             waiting = ran.load.waiting,
             slots = ran.load.slots,
-            service_us = ran.load.service,
+            service_us = ran.load.service_us,
             left_ms = millis(ran.remaining),
             sample = SAMPLE_ONE_IN,
             skipped;
@@ -260,7 +260,7 @@
             running = refused.load.running,
             waiting = refused.load.waiting,
             slots = refused.load.slots,
-            service_us = refused.load.service,
+            service_us = refused.load.service_us,
             target_ms = millis(refused.target),
             left_ms = millis(refused.remaining),
             retry_after_ms = millis(refused.retry_after),
--- a/src/proxy/upload.rs
+++ b/src/proxy/upload.rs
@@ -216,9 +216,9 @@
     pub fn fingerprint_body(&self) -> quarantine::Body<'_> {
         match self {
             Upload::Buffered(bytes) => {
-                quarantine::Body::Whole(bytes.as_deref().unwrap_or_default())
+                quarantine::Body::Complete(bytes.as_deref().unwrap_or_default())
             }
-            Upload::Stream(..) => quarantine::Body::Streams(self.size_hint().exact()),
+            Upload::Stream(..) => quarantine::Body::Streamed(self.size_hint().exact()),
         }
     }
 }
--- a/src/proxy/versions.rs
+++ b/src/proxy/versions.rs
@@ -23,7 +23,8 @@
     /// Whether the result counts against the version. Run times count only if the upstream
     /// `is_warm`.
     fn is_bad(&self, is_warm: bool) -> bool {
-        let slow = |(ran, mean): (time::Duration, time::Duration)| ran > mean.mul_f32(counts::SLOW);
+        let slow =
+            |(ran, mean): (time::Duration, time::Duration)| ran > mean.mul_f32(counts::SLOW_FACTOR);
         self.failed || (is_warm && self.times.is_some_and(slow))
     }
 }
@@ -66,14 +67,18 @@
     }
 
     /// Which versions serve the next call for `service`: all, those of the order, or the others.
-    pub fn next(&self, service: &str, now: clock::Instant) -> rollout::Side {
-        self.table.borrow_mut().next(service, now)
+    pub fn next_group(&self, service: &str, now: clock::Instant) -> rollout::VersionGroup {
+        self.table.borrow_mut().next_group(service, now)
     }
 
-    /// Which versions serve a call for `service` if those of `side` have no upstream; `None` if no
+    /// Which versions serve a call for `service` if those of `group` have no upstream; `None` if no
     /// others may.
-    pub fn fallback(&self, service: &str, side: rollout::Side) -> Option<rollout::Side> {
-        self.table.borrow().instead(service, side)
+    pub fn fallback(
+        &self,
+        service: &str,
+        group: rollout::VersionGroup,
+    ) -> Option<rollout::VersionGroup> {
+        self.table.borrow().fallback(service, group)
     }
 
     /// The progress of each roll-out as seen by this node.
@@ -88,18 +93,18 @@
 
     /// Records a result of the old version, for a call that entered the mesh at this node.
     pub fn record_old(&self, service: &str, observation: Observation) {
-        self.table.borrow_mut().note_old(service, observation.is_bad(true));
+        self.table.borrow_mut().record_old(service, observation.is_bad(true));
     }
 
     /// Records a result of the local upstream.
     pub fn record_local(&self, upstream: &view::Upstream, observation: Observation) {
-        let order = self.table.borrow().tried(&upstream.service, &upstream.version);
+        let order = self.table.borrow().trial_order(&upstream.service, &upstream.version);
         let mut trial = self.trial.get();
         if trial.order != order {
             trial = rollout::TrialReport { order, ..rollout::TrialReport::default() };
         }
         if order > 0 {
-            trial.new.note(observation.is_bad(upstream.phase == view::Phase::Serving));
+            trial.new.record(observation.is_bad(upstream.phase == view::Phase::Serving));
         }
         self.trial.set(trial);
     }
--- a/src/proxy/wiring.rs
+++ b/src/proxy/wiring.rs
@@ -24,7 +24,7 @@
     /// The hosts of the mesh.
     pub view: watch::Receiver<Arc<view::View>>,
     /// The local upstream, the one beside this node.
-    pub local: watch::Receiver<Option<Arc<node::Local>>>,
+    pub local: watch::Receiver<Option<Arc<node::LocalUpstream>>>,
     /// The stage of the process, from running to its end.
     pub stage: watch::Receiver<node::Stage>,
     /// Receives usage counts; those that a full ring refuses are sent again with the next ones.
--- a/src/spread/shell.rs
+++ b/src/spread/shell.rs
@@ -47,7 +47,7 @@
     /// The known hosts.
     pub view: watch::Receiver<Arc<view::View>>,
     /// From the membership duty: peers that run something else.
-    pub heard: ring::Receiver<member::VersionMismatch>,
+    pub mismatches: ring::Receiver<member::VersionMismatch>,
     /// The platform's log.
     pub log: L,
     /// Stage of the process; the duty ends at [`node::Stage::End`].
@@ -109,7 +109,7 @@
         applied: wiring.applied,
         log: wiring.log,
     };
-    shell.turn(inbox, wiring.view, wiring.heard, wiring.stage).await;
+    shell.turn(inbox, wiring.view, wiring.mismatches, wiring.stage).await;
     Ok(())
 }
 
@@ -184,7 +184,7 @@
         counts.received(bytes.len());
         match wire::decode(&self.link.seal, bytes) {
             Ok(message::Envelope { host, datagram }) => {
-                let host = host.unwrap_or_else(|| host::HostId::of_spread(from));
+                let host = host.unwrap_or_else(|| host::HostId::from_spread_addr(from));
                 Some(decision::Event::Datagram { host, datagram })
             }
             Err(error) => {
--- a/tests/calls/quarantine.rs
+++ b/tests/calls/quarantine.rs
@@ -16,7 +16,7 @@
 
 fn fingerprint(path: &str) -> Fingerprint {
     let fingerprinter = quarantine::Fingerprinter::new(&seal::Seal::new("calls", "secret"));
-    fingerprinter.fingerprint("GET", "shop.test", path, Body::Whole(b""))
+    fingerprinter.fingerprint("GET", "shop.test", path, Body::Complete(b""))
 }
 
 /// Publishes to `node` that `crashes` upstreams crashed while a request for `path` ran, and that
--- a/tests/calls/rig.rs
+++ b/tests/calls/rig.rs
@@ -93,7 +93,7 @@
     /// The stage of the node, from running to its end.
     pub stage: watch::Sender<node::Stage>,
     /// The local upstream.
-    pub local: watch::Sender<Option<Arc<node::Local>>>,
+    pub local: watch::Sender<Option<Arc<node::LocalUpstream>>>,
     /// Usage counted by the node.
     pub tallies: ring::Receiver<usage::Delta>,
     view: watch::Sender<Arc<view::View>>,
@@ -195,7 +195,11 @@
     let id = host::HostId::new(settings.listen);
     let described = upstream.map(|_| shop(slots));
     let local_upstream = upstream.map(|address| {
-        Arc::new(node::Local { address, instance: Default::default(), upstream: shop(slots) })
+        Arc::new(node::LocalUpstream {
+            address,
+            instance: Default::default(),
+            upstream: shop(slots),
+        })
     });
     let (stage, stages) = watch::channel(node::Stage::Run);
     let (local, locals) = watch::channel(local_upstream);
