--- a/src/proxy/body.rs
+++ b/src/proxy/body.rs
@@ -35,7 +35,7 @@
 }
 
 impl Reply {
-    /// A buffered body.
+    /// A body that is sent from memory.
     pub const fn buffered(bytes: Bytes) -> Self {
         Self::Buffered(Some(bytes))
     }
--- a/src/proxy/call.rs
+++ b/src/proxy/call.rs
@@ -65,12 +65,12 @@
         self.applied.mesh.route(self.route)
     }
 
-    /// Kind of the call.
+    /// The kind of call, as set by the route.
     pub fn kind(&self) -> &mesh::Kind {
         self.applied.mesh.kind(self.route().kind)
     }
 
-    /// Service of the call.
+    /// The service that serves the call. On a split route, it was chosen by the split.
     pub fn service(&self) -> &mesh::Service {
         self.applied.mesh.service(self.service)
     }
--- a/src/proxy/request_head.rs
+++ b/src/proxy/request_head.rs
@@ -27,9 +27,9 @@
 /// The head of a caller's request.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
-    /// Method.
+    /// The HTTP method.
     pub method: http::Method,
-    /// Path with query.
+    /// The path with its query.
     pub path: http::uri::PathAndQuery,
     /// The requested host, with its port.
     pub host: Option<http::uri::Authority>,
--- a/src/proxy/serve.rs
+++ b/src/proxy/serve.rs
@@ -30,7 +30,7 @@
 /// the last call has ended: requests in flight are answered "not run" instead of being cut off.
 const CLOSE_DELAY: time::Duration = time::Duration::from_millis(100);
 
-/// Opens a listener.
+/// Binds a listener to `address`.
 ///
 /// # Errors
 ///
--- a/src/proxy/slots.rs
+++ b/src/proxy/slots.rs
@@ -185,7 +185,7 @@
         self.gate.borrow().retry_after(ticket, self.ctx.now())
     }
 
-    /// The upstream's load.
+    /// The load of the upstream, as counted by the gate.
     pub fn load(&self) -> admit::Load {
         self.gate.borrow().load()
     }
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -59,7 +59,7 @@
     pub ctx: context::Context,
     /// Settings of the node.
     pub settings: Arc<configs::Node>,
-    /// This host.
+    /// The host of this node.
     pub me: host::HostId,
     /// Claims idempotency keys.
     pub claims: C,
--- a/src/proxy/upload.rs
+++ b/src/proxy/upload.rs
@@ -30,7 +30,7 @@
 /// A buffered body.
 #[derive(Debug, Default)]
 pub struct Buffered {
-    /// The body.
+    /// All bytes of the body.
     pub bytes: Bytes,
     /// Its share of the memory for bodies; `None` for an empty body.
     _reservation: Option<body_memory::Reservation>,
--- a/tests/calls/rig.rs
+++ b/tests/calls/rig.rs
@@ -259,7 +259,7 @@
         self.header("dandelionspool-outcome")
     }
 
-    /// The body as text.
+    /// The body as text; "cut" if it broke off.
     pub fn text(&self) -> &str {
         self.body.as_ref().map_or("cut", |b| std::str::from_utf8(b).unwrap())
     }
--- a/tests/calls/slots.rs
+++ b/tests/calls/slots.rs
@@ -11,7 +11,7 @@
 use crate::fake::Step;
 use crate::rig;
 
-const LONG: time::Duration = time::Duration::from_secs(60);
+const TEST_TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
 /// Never answers a request whose id starts with "hang".
 fn hang(request: &fake::Request) -> Vec<Step> {
@@ -162,7 +162,7 @@
             nodes[1].stage.send_replace(dandelionspool::node::Stage::End);
         };
         let answers = futures_util::future::join_all(calls);
-        let (answers, ()) = tokio::join!(tokio::time::timeout(LONG, answers), kill);
+        let (answers, ()) = tokio::join!(tokio::time::timeout(TEST_TIMEOUT, answers), kill);
         for answer in answers.unwrap() {
             assert_eq!((answer.status, answer.outcome()), (200, "ran"));
         }
