--- a/src/proxy/caller.rs
+++ b/src/proxy/caller.rs
@@ -187,7 +187,7 @@
                 if self.is_ending() {
                     return Ok(false);
                 }
-                *lane = self.start(head).await;
+                *lane = self.start_lane(head).await;
             }
             if let Some(pipe) = lane {
                 // Fails if the lane has answered before the end of the body; the rest is discarded.
@@ -214,7 +214,7 @@
     }
 
     /// Starts a lane for the next request; waits while too many requests are unanswered.
-    async fn start(&mut self, head: frame::Head) -> Option<WriteHalf<DuplexStream>> {
+    async fn start_lane(&mut self, head: frame::Head) -> Option<WriteHalf<DuplexStream>> {
         let (near, far) = tokio::io::duplex(PIPE_BYTES);
         let (pipe, input) = tokio::io::split(near);
         let number = self.latest.get() + 1;
--- a/src/proxy/inbound_link.rs
+++ b/src/proxy/inbound_link.rs
@@ -116,7 +116,7 @@
     }
 
     /// Waits for a turn, unless what remains of the body fits into one window.
-    async fn enter(&mut self, rest: &received_body::ReceivedBody) {
+    async fn wait_turn(&mut self, rest: &received_body::ReceivedBody) {
         let short = rest.size_hint().upper().is_some_and(|n| n <= u64::from(self.link.plan.window));
         if short || self.permit.is_some() {
             return;
@@ -130,7 +130,7 @@
         &mut self,
         rest: &mut received_body::ReceivedBody,
     ) -> Option<Result<Frame<Bytes>, error::Broken>> {
-        self.enter(rest).await;
+        self.wait_turn(rest).await;
         if self.permit.is_none() {
             return rest.frame().await;
         }
--- a/src/proxy/internode.rs
+++ b/src/proxy/internode.rs
@@ -139,7 +139,7 @@
             Ok(Err(mut failed)) => match failed.take_message() {
                 // Nothing was sent, as the connection was closed in the meantime.
                 Some(unsent) => request = unsent,
-                None => return lost(host, failed.error()).into(),
+                None => return lost_call(host, failed.error()).into(),
             },
         }
     }
@@ -147,7 +147,7 @@
 }
 
 /// The refusal of a call whose connection or stream failed.
-fn lost(host: host::HostId, error: &hyper::Error) -> refuse::Refusal {
+fn lost_call(host: host::HostId, error: &hyper::Error) -> refuse::Refusal {
     log::debug!("call lost on the way to {host}: {error}");
     refuse::Refusal::unknown(retry::Reason::Cut)
 }
--- a/src/proxy/resources.rs
+++ b/src/proxy/resources.rs
@@ -121,7 +121,7 @@
 
     /// Ends an attempt that got no answer; another one may follow. Returns the attempt's outcome.
     pub fn fail_attempt(&mut self, outcome: retry::Outcome) -> retry::Outcome {
-        self.free();
+        self.release_upstream();
         let Some(attempt) = self.attempt.take() else { return outcome };
         match outcome {
             retry::Outcome::Ran => outcome,
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Releases the resources of the upstream.
-    fn free(&mut self) {
+    /// Releases the running call, the connection and the slot.
+    fn release_upstream(&mut self) {
         self.run = None;
         self.lease = None;
         self.slot = None;
@@ -147,7 +147,7 @@
     /// Releases everything after the answer broke off for `reason`.
     pub fn abort(&mut self, reason: retry::Reason) {
         self.report_broken(reason);
-        self.free();
+        self.release_upstream();
         if let Some(attempt) = self.attempt.take() {
             attempt.end(retry::Event::Failed(reason));
         }
--- a/src/proxy/shell.rs
+++ b/src/proxy/shell.rs
@@ -75,7 +75,7 @@
     let mut stage = wiring.stage;
     let mut ended = stage.clone();
     let closed = async {
-        drained(&state, &mut stage).await;
+        wait_drained(&state, &mut stage).await;
         close.send_replace(true);
         let both = async { tokio::join!(&mut callers.0, &mut nodes.0) };
         // Connections that are still open after the time-out carry no call.
@@ -109,7 +109,7 @@
 }
 
 /// Waits until the process drains, callers have had time to notice, and no call is in flight.
-async fn drained<C: claim::Claims>(
+async fn wait_drained<C: claim::Claims>(
     state: &Rc<state::State<C>>,
     stage: &mut watch::Receiver<node::Stage>,
 ) {
--- a/src/proxy/trace.rs
+++ b/src/proxy/trace.rs
@@ -136,7 +136,7 @@
 
 impl Trace {
     /// Number of lines left out since the last one; `None` if no line may be written now.
-    fn admit(&self, now: clock::Instant) -> Option<u64> {
+    fn reserve_line(&self, now: clock::Instant) -> Option<u64> {
         if now.since(self.since.get()) >= SECOND {
             self.since.set(now);
             self.lines.set(0);
@@ -151,7 +151,7 @@
 
     /// Logs a call that ended without an answer of its upstream, at the entry node.
     pub fn ended(&self, ended: &Ended<'_>, now: clock::Instant) {
-        let Some(skipped) = self.admit(now) else { return };
+        let Some(skipped) = self.reserve_line(now) else { return };
         let refusal = ended.refusal;
         log::info!(
             id = text(ended.id),
@@ -171,7 +171,7 @@
         if !is_sampled(served.id) {
             return;
         }
-        let Some(skipped) = self.admit(now) else { return };
+        let Some(skipped) = self.reserve_line(now) else { return };
         log::info!(
             id = text(served.id),
             status = served.status.as_u16(),
@@ -188,7 +188,7 @@
         if !is_sampled(ran.id) {
             return;
         }
-        let Some(skipped) = self.admit(now) else { return };
+        let Some(skipped) = self.reserve_line(now) else { return };
         log::info!(
             id = text(ran.id),
             kind = ran.kind,
@@ -207,7 +207,7 @@
 
     /// Logs a failed attempt, at the entry node.
     pub fn attempt(&self, attempt: &Attempt<'_>, now: clock::Instant) {
-        let Some(skipped) = self.admit(now) else { return };
+        let Some(skipped) = self.reserve_line(now) else { return };
         let host = attempt.host.map(|host| host.to_string()).unwrap_or_default();
         log::info!(
             id = text(attempt.id),
@@ -250,7 +250,7 @@
 
     /// Logs a call that the owner node did not admit.
     pub fn refused(&self, refused: &Refused<'_>, now: clock::Instant) {
-        let Some(skipped) = self.admit(now) else { return };
+        let Some(skipped) = self.reserve_line(now) else { return };
         log::info!(
             id = refused.id.map(text).unwrap_or_default(),
             service = refused.service,
--- a/src/proxy/trace/tests.rs
+++ b/src/proxy/trace/tests.rs
@@ -8,8 +8,8 @@
 fn lines(count: u32) -> (usize, Option<u64>) {
     let trace = trace::Trace::default();
     let first = clock::Instant::from_millis(5000);
-    let written = (0..count).filter(|_| trace.admit(first).is_some()).count();
-    (written, trace.admit(clock::Instant::from_millis(6000)))
+    let written = (0..count).filter(|_| trace.reserve_line(first).is_some()).count();
+    (written, trace.reserve_line(clock::Instant::from_millis(6000)))
 }
 
 #[test]
--- a/src/proxy/upload.rs
+++ b/src/proxy/upload.rs
@@ -138,7 +138,7 @@
             }
         }
         let received = head.len() as u64;
-        let source = Streamed {
+        let stream = Streamed {
             head: head.freeze(),
             rest,
             started: false,
@@ -146,7 +146,7 @@
             max_bytes,
             fault: None,
         };
-        Ok(Self::Stream(Rc::new(RefCell::new(source))))
+        Ok(Self::Stream(Rc::new(RefCell::new(stream))))
     }
 
     /// The body for an attempt.
@@ -155,7 +155,7 @@
     pub fn attempt(&self) -> Upload {
         match self {
             Body::Buffered(body) => Upload::Buffered(Some(body.bytes.clone())),
-            Body::Stream(source) => Upload::Stream(Rc::clone(source), false),
+            Body::Stream(stream) => Upload::Stream(Rc::clone(stream), false),
         }
     }
 
@@ -163,10 +163,10 @@
     pub fn bytes(&self) -> u64 {
         match self {
             Body::Buffered(body) => body.bytes.len() as u64,
-            Body::Stream(source) => {
-                let source = source.borrow();
-                let rest = source.rest.size_hint();
-                source.head.len() as u64 + rest.exact().unwrap_or(rest.lower())
+            Body::Stream(stream) => {
+                let stream = stream.borrow();
+                let rest = stream.rest.size_hint();
+                stream.head.len() as u64 + rest.exact().unwrap_or(rest.lower())
             }
         }
     }
@@ -175,7 +175,7 @@
     pub fn is_repeatable(&self) -> bool {
         match self {
             Body::Buffered(_) => true,
-            Body::Stream(source) => !source.borrow().started,
+            Body::Stream(stream) => !stream.borrow().started,
         }
     }
 
@@ -183,7 +183,7 @@
     pub fn fault(&self) -> Option<retry::Reason> {
         match self {
             Body::Buffered(_) => None,
-            Body::Stream(source) => source.borrow().fault,
+            Body::Stream(stream) => stream.borrow().fault,
         }
     }
 }
@@ -236,15 +236,15 @@
                 let bytes = bytes.take().filter(|b| !b.is_empty());
                 task::Poll::Ready(bytes.map(|b| Ok(Frame::data(b))))
             }
-            Upload::Stream(source, head_sent) => {
-                let mut source = source.borrow_mut();
+            Upload::Stream(stream, head_sent) => {
+                let mut stream = stream.borrow_mut();
                 if !*head_sent {
                     *head_sent = true;
-                    if !source.head.is_empty() {
-                        return task::Poll::Ready(Some(Ok(Frame::data(source.head.clone()))));
+                    if !stream.head.is_empty() {
+                        return task::Poll::Ready(Some(Ok(Frame::data(stream.head.clone()))));
                     }
                 }
-                source.poll(cx)
+                stream.poll(cx)
             }
         }
     }
@@ -261,10 +261,10 @@
             Upload::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
-            Upload::Stream(source, head_sent) => {
-                let source = source.borrow();
-                let head = if *head_sent { 0 } else { source.head.len() as u64 };
-                let rest = source.rest.size_hint().exact();
+            Upload::Stream(stream, head_sent) => {
+                let stream = stream.borrow();
+                let head = if *head_sent { 0 } else { stream.head.len() as u64 };
+                let rest = stream.rest.size_hint().exact();
                 rest.map_or_else(SizeHint::default, |n| SizeHint::with_exact(head + n))
             }
         }
