--- /dev/null
+++ b/src/proxy/call.rs
@@ -0,0 +1,374 @@
+//! A caller's call at its entry node, and its attempts.
+
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time;
+
+use http::header;
+use hyper::body::Body as _;
+
+use crate::claim;
+use crate::clock;
+use crate::host;
+use crate::mesh;
+use crate::pick;
+use crate::proxy::body;
+use crate::proxy::call_spec;
+use crate::proxy::headers;
+use crate::proxy::inbound_link;
+use crate::proxy::internode;
+use crate::proxy::owner;
+use crate::proxy::received_body;
+use crate::proxy::refuse;
+use crate::proxy::request_head;
+use crate::proxy::resources;
+use crate::proxy::state;
+use crate::proxy::trace;
+use crate::proxy::upload;
+use crate::quarantine;
+use crate::retry;
+use crate::rollout;
+
+/// How long after the deadline the owner node's reply is awaited, as it tells whether the call ran.
+const REPLY_GRACE: time::Duration = time::Duration::from_millis(5);
+
+/// A call at its entry node.
+#[derive(Debug)]
+pub struct Call {
+    /// Head of the caller's request.
+    pub head: request_head::RequestHead,
+    /// Body of the caller's request.
+    pub body: upload::Body,
+    /// Configuration in force when the call arrived.
+    pub applied: Arc<mesh::Applied>,
+    /// Route of the call in that configuration.
+    pub route: mesh::RouteKey,
+    /// The service that serves the call, one of those of the route.
+    pub service: mesh::ServiceKey,
+    /// Whether the call is nested: made by a call that runs at the local upstream.
+    pub nested: bool,
+    /// When the target latency of the call ends.
+    pub target: clock::Instant,
+    /// When the caller gives up.
+    pub deadline: clock::Instant,
+}
+
+/// An attempt that failed.
+struct Failed {
+    refusal: refuse::Refusal,
+    /// `None` if no host was picked.
+    host: Option<host::HostId>,
+}
+
+impl Call {
+    fn route(&self) -> &mesh::Route {
+        self.applied.mesh.route(self.route)
+    }
+
+    /// The kind of call, as set by the route.
+    pub fn kind(&self) -> &mesh::Kind {
+        self.applied.mesh.kind(self.route().kind)
+    }
+
+    /// The service that serves the call. On a split route, it was chosen by the split.
+    pub fn service(&self) -> &mesh::Service {
+        self.applied.mesh.service(self.service)
+    }
+
+    fn class(&self) -> Option<&mesh::Class> {
+        let class = self.route().class.filter(|_| self.route().split.is_empty());
+        class.map(|c| self.applied.mesh.class(c))
+    }
+
+    /// The target to pick for `group`, in the keys of `current`, the configuration from which the
+    /// picker's table was built. `None` if that configuration lacks the service or class.
+    fn target(
+        &self,
+        current: &Arc<mesh::Applied>,
+        group: rollout::VersionGroup,
+    ) -> Option<pick::Target> {
+        if Arc::ptr_eq(&self.applied, current) {
+            let class = self.class().and(self.route().class);
+            return Some(pick::Target { service: self.service, class, group });
+        }
+        let mesh = &current.mesh;
+        let service = mesh.services.iter().position(|s| s.name == self.service().name)?;
+        let class = match self.class() {
+            None => None,
+            Some(class) => Some(mesh.classes.iter().position(|c| c.name == class.name)?),
+        };
+        let key = |index: usize| u16::try_from(index).ok();
+        Some(pick::Target {
+            service: mesh::ServiceKey(key(service)?),
+            class: class.and_then(key).map(mesh::ClassKey),
+            group,
+        })
+    }
+
+    fn spec(&self) -> call_spec::CallSpec<'_> {
+        call_spec::CallSpec {
+            service: &self.service().name,
+            class: self.class().map(|c| c.name.as_str()),
+            kind: &self.kind().name,
+            weight: queue_weight(self.kind()),
+            nested: self.nested,
+            target: self.target,
+            deadline: self.deadline,
+        }
+    }
+
+    /// The fingerprint of the request, equal to the one that the owner node computes.
+    fn fingerprint(&self, fingerprinter: &quarantine::Fingerprinter) -> quarantine::Fingerprint {
+        let head = &self.head;
+        let host = head.host.as_ref().map_or("", http::uri::Authority::as_str);
+        let body = self.body.attempt();
+        fingerprinter.fingerprint(
+            head.method.as_str(),
+            host,
+            head.path.as_str(),
+            body.fingerprint_body(),
+        )
+    }
+
+    /// The request for attempt number `attempt`.
+    fn request(&self, attempt: u8, verbose: bool) -> http::Request<upload::Upload> {
+        let mut request = http::Request::new(self.body.attempt());
+        *request.method_mut() = self.head.method.clone();
+        *request.uri_mut() = http::Uri::from(self.head.path.clone());
+        let mut map = self.head.headers.clone();
+        if verbose {
+            let attempt = u16::from(attempt.max(self.head.outer_attempt));
+            map.insert(headers::ATTEMPT, header::HeaderValue::from(attempt));
+            let depth = u16::from(self.head.depth.saturating_add(1));
+            map.insert(headers::DEPTH, header::HeaderValue::from(depth));
+        }
+        *request.headers_mut() = map;
+        request
+    }
+}
+
+/// Weight of a call of `kind` in the owner node's queue: kinds of higher priority (a lower number)
+/// come first, and among kinds of the same priority those of greater weight.
+fn queue_weight(kind: &mesh::Kind) -> u32 {
+    /// Bits for the weight within a priority. The maximum weight of a configuration fits.
+    const WEIGHT_BITS: u32 = 20;
+    let urgency = u32::from(u8::MAX - kind.priority);
+    (urgency << WEIGHT_BITS) | kind.weight.min((1 << WEIGHT_BITS) - 1)
+}
+
+/// Makes attempts until one is answered or no other attempt is allowed.
+///
+/// # Errors
+///
+/// The refusal of the last attempt, with an unknown outcome if an earlier attempt may have run.
+pub async fn run<C: claim::Claims>(
+    state: &Rc<state::State<C>>,
+    call: &Call,
+    mut resources: resources::Resources,
+) -> Result<http::Response<body::Reply>, refuse::Refusal> {
+    let mut avoid = Vec::new();
+    let mut attempt = 1;
+    let mut previous = None;
+    let mut unknown = None;
+    loop {
+        let mut failed = match try_once(state, call, attempt, &avoid, &mut resources).await {
+            Ok(answer) => {
+                // The retry budget of a service is a share of its callers' calls. Nested calls may
+                // be three times as many and would raise the budget beyond that share.
+                if !call.nested {
+                    state.budget(call.service(), retry::Budget::record_served);
+                }
+                return Ok(answer);
+            }
+            Err(failed) => failed,
+        };
+        if failed.host.is_none() {
+            // The reason of the previous attempt says more than that no other upstream remains.
+            failed.refusal = previous.unwrap_or(failed.refusal);
+        }
+        unknown = unknown.or(unknown_reason(failed.refusal.outcome));
+        let decision = decide(state, call, attempt, &failed);
+        log_failure(state, call, attempt, &failed, &decision);
+        match decision {
+            retry::Decision::Again { avoid: host } => avoid.extend(host),
+            retry::Decision::Final { outcome, retry_after } => {
+                // The last attempt did not run, but an earlier one may have.
+                let outcome = unknown.map_or(outcome, retry::Outcome::Unknown);
+                if let Some(count) = resources.count.take() {
+                    count.ended(outcome);
+                }
+                return Err(refuse::Refusal::new(outcome, retry_after));
+            }
+        }
+        previous = Some(failed.refusal);
+        attempt += 1;
+    }
+}
+
+/// The reason why it is unknown whether an attempt ran; `None` if it is known.
+const fn unknown_reason(outcome: retry::Outcome) -> Option<retry::Reason> {
+    match outcome {
+        retry::Outcome::Unknown(reason) => Some(reason),
+        retry::Outcome::NotRun(_) | retry::Outcome::Ran => None,
+    }
+}
+
+fn decide<C: claim::Claims>(
+    state: &state::State<C>,
+    call: &Call,
+    attempt: u8,
+    failed: &Failed,
+) -> retry::Decision {
+    let facts = retry::Call {
+        idempotent: call.kind().idempotent,
+        attempt,
+        max_attempts: call.kind().attempts.unwrap_or(state.settings.call.attempts),
+        depth: call.head.depth.max(u8::from(call.nested)),
+        outer_attempt: call.head.outer_attempt,
+        deadline: call.deadline,
+        answered_bytes: 0,
+        buffered: call.body.is_repeatable(),
+        host: failed.host,
+        retry_after: failed.refusal.retry_after,
+    };
+    let now = state.ctx.now();
+    state
+        .budget(call.service(), |budget| retry::decide(&facts, failed.refusal.outcome, budget, now))
+}
+
+/// Logs a failed attempt and whether another one follows.
+fn log_failure<C: claim::Claims>(
+    state: &state::State<C>,
+    call: &Call,
+    number: u8,
+    failed: &Failed,
+    decision: &retry::Decision,
+) {
+    let now = state.ctx.now();
+    let attempt = trace::Attempt {
+        id: &call.head.id,
+        route: &call.route().name,
+        service: &call.service().name,
+        host: failed.host,
+        number,
+        outcome: failed.refusal.outcome,
+        again: matches!(decision, retry::Decision::Again { .. }),
+        nested: call.nested,
+        remaining: call.deadline.since(now),
+    };
+    state.trace.attempt(&attempt, now);
+}
+
+/// Makes a single attempt.
+async fn try_once<C: claim::Claims>(
+    state: &Rc<state::State<C>>,
+    call: &Call,
+    attempt: u8,
+    avoid: &[host::HostId],
+    resources: &mut resources::Resources,
+) -> Result<http::Response<body::Reply>, Failed> {
+    // Checked before each attempt: retries would carry a request that crashes upstreams to each
+    // one.
+    let check = state.quarantine.check_entry(|| call.fingerprint(&state.fingerprinter));
+    check.map_err(|refusal| Failed { refusal, host: None })?;
+    let transfer_cost = transfer_cost(state, call);
+    let Some(choice) = choose(state, call, transfer_cost, avoid) else {
+        let refusal = refuse::Refusal::not_run(retry::Reason::NoUpstream);
+        return Err(Failed { refusal, host: None });
+    };
+    resources.start_attempt(state.ctx, &state.picker, choice);
+    let mut request = call.request(attempt, state.dialect.verbose);
+    let result = if choice.host == state.me {
+        internode::set_host(&mut request, call.head.host.as_ref());
+        owner::run(state, &call.spec(), request, resources).await
+    } else {
+        remote(state, call, choice.host, request, resources).await
+    };
+    record_old(state, call, choice.target.group, &result);
+    if let Ok(answer) = &result {
+        let bytes = answer.body().size_hint();
+        let bytes = bytes.exact().unwrap_or(bytes.lower());
+        state.sizes.borrow_mut().record(&call.kind().name, bytes);
+    }
+    result.map_err(|mut refusal| {
+        refusal.outcome =
+            with_body_fault(resources.fail_attempt(refusal.outcome), call.body.fault());
+        Failed { refusal, host: Some(choice.host) }
+    })
+}
+
+/// Picks the upstream for an attempt, among the versions that the roll-out selects for this call.
+fn choose<C: claim::Claims>(
+    state: &state::State<C>,
+    call: &Call,
+    transfer_cost: pick::TransferCost,
+    avoid: &[host::HostId],
+) -> Option<pick::Choice> {
+    let (now, service) = (state.ctx.now(), &call.service().name);
+    let current = state.applied();
+    let pick = |group| {
+        let target = call.target(&current, group)?;
+        state.picker.borrow_mut().pick_with_cost(target, transfer_cost, now, avoid)
+    };
+    let group = state.rollouts.next_group(service, now);
+    pick(group).or_else(|| pick(state.rollouts.fallback(service, group)?))
+}
+
+/// Records an answer of the old version of a service during a roll-out.
+fn record_old<C: claim::Claims>(
+    state: &state::State<C>,
+    call: &Call,
+    group: rollout::VersionGroup,
+    result: &Result<http::Response<body::Reply>, refuse::Refusal>,
+) {
+    if group != rollout::VersionGroup::Old {
+        return;
+    }
+    if let Some(observation) = state.observation(&call.kind().name, result) {
+        state.rollouts.record_old(&call.service().name, observation);
+    }
+}
+
+/// The cost of transferring the call's body and answer.
+fn transfer_cost<C: claim::Claims>(state: &state::State<C>, call: &Call) -> pick::TransferCost {
+    let unit = u64::from(state.settings.call.cross_bytes);
+    let bytes = call.body.bytes() + state.sizes.borrow().expected(&call.kind().name);
+    let cross = if unit == 0 { 0.0 } else { bytes as f32 / unit as f32 };
+    let link = inbound_link::link_time(&state.settings.proxy, bytes);
+    pick::TransferCost { cross_zone: cross, link_us: link, inner: call.nested }
+}
+
+/// Replaces the reason of an unknown outcome by that of the request's body, if the body ended
+/// early.
+fn with_body_fault(outcome: retry::Outcome, fault: Option<retry::Reason>) -> retry::Outcome {
+    match (outcome, fault) {
+        (retry::Outcome::Unknown(_), Some(fault)) => retry::Outcome::Unknown(fault),
+        _ => outcome,
+    }
+}
+
+/// Makes an attempt at the upstream beside another node.
+async fn remote<C: claim::Claims>(
+    state: &state::State<C>,
+    call: &Call,
+    host: host::HostId,
+    mut request: http::Request<upload::Upload>,
+    resources: &mut resources::Resources,
+) -> Result<http::Response<body::Reply>, refuse::Refusal> {
+    internode::wrap(&mut request, call.head.host.as_ref(), &call.spec(), state.ctx.now())?;
+    let end = state.timer(call.deadline) + REPLY_GRACE;
+    let answer = internode::call(&state.links, host, request, end).await;
+    if let Some(attempt) = resources.attempt.as_mut() {
+        attempt.set_load(answer.load);
+    }
+    let (mut parts, incoming) = answer.result?.into_parts();
+    if let Some(ran) = answer.ran {
+        parts.extensions.insert(ran);
+        state.record_run_time(&call.kind().name, parts.status, ran, resources);
+    }
+    resources.record_head(parts.status, answer.load);
+    let received = received_body::ReceivedBody::new(incoming, received_body::Carrier::Http2);
+    let reply =
+        body::Reply::read(received, state.settings.proxy.whole_bytes, end, resources).await?;
+    Ok(http::Response::from_parts(parts, reply))
+}
--- /dev/null
+++ b/src/proxy/call_spec.rs
@@ -0,0 +1,28 @@
+//! What an owner node needs to know of a call, and the run time that results.
+
+use std::time::Duration;
+
+use crate::clock;
+
+/// How long an upstream took to begin its answer; stored in the extensions of the answer.
+#[derive(Clone, Copy, Debug)]
+pub struct RunTime(pub Duration);
+
+/// What an owner node needs to know of a call, besides the request for the upstream.
+#[derive(Clone, Copy, Debug)]
+pub struct CallSpec<'a> {
+    /// The service that the upstream must serve.
+    pub service: &'a str,
+    /// The class that the upstream must have; `None` allows all.
+    pub class: Option<&'a str>,
+    /// Name of the call's kind; empty if the entry node sent none.
+    pub kind: &'a str,
+    /// Weight of the call's kind in the queue for slots.
+    pub weight: u32,
+    /// Whether the call is nested: a running call made it and waits for its answer.
+    pub nested: bool,
+    /// When the target latency of the call ends.
+    pub target: clock::Instant,
+    /// When the caller gives up.
+    pub deadline: clock::Instant,
+}
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,50 +1,51 @@
-//! The call path: hyper and tokio around the decisions.
+//! The call path: the sockets and tasks (hyper and tokio) around the decisions on calls.
 //!
-//! A call goes through a pipe of steps on one thread. At its entry, any node: accept, match route,
-//! check deadline ([`entry`]), claim ([`keyed`]), pick and forward ([`job`], [`inner`]). At the
-//! upstream's own node ([`peer`]): admit ([`slots`]), run ([`pool`]), check the answer ([`owner`]).
-//! Back at the entry: answer and count ([`guard`]). When the entry is the upstream's own node the
-//! hop between nodes is skipped.
+//! All steps of a call run on one thread. Its entry node, which may be any node, accepts it,
+//! matches its route and checks its deadline ([`entry`]), claims its idempotency key
+//! ([`idempotency`]), picks an upstream and forwards the call ([`call`], [`internode`]). The owner
+//! node ([`peer`]) waits for a slot ([`slots`]), sends the call to the upstream ([`pool`]) and
+//! checks the answer ([`owner`]). The entry node then answers and counts the call ([`resources`]).
+//! When the entry node is also the owner node, nothing is sent between nodes.
 
-pub mod ask;
+pub mod attempt;
 pub mod body;
+pub mod body_memory;
+pub mod call;
+pub mod call_spec;
 pub mod caller;
+pub mod caller_retries;
 pub mod count;
+pub mod crash_detector;
 pub mod dialect;
-pub mod ends;
 pub mod entry;
 pub mod error;
 pub mod frame;
-pub mod guard;
 pub mod headers;
-pub mod held;
-pub mod inflow;
-pub mod inner;
-pub mod job;
-pub mod keyed;
+pub mod held_answers;
+pub mod idempotency;
+pub mod inbound_link;
+pub mod internode;
 pub mod links;
-pub mod order;
 pub mod owner;
-pub mod paces;
 pub mod peer;
 pub mod pool;
+pub mod quarantine_filter;
+pub mod received_body;
 pub mod refuse;
 pub mod reply;
-pub mod returns;
-pub mod room;
-pub mod runs;
+pub mod request_head;
+pub mod resources;
+pub mod run_times;
+pub mod running_calls;
 pub mod serve;
 pub mod shell;
 pub mod sizes;
 pub mod slots;
-pub mod split;
 pub mod state;
-pub mod suspects;
 pub mod trace;
-pub mod trip;
+pub mod traffic_split;
 pub mod upload;
 pub mod versions;
-pub mod wire;
 pub mod wiring;
 
 pub use dialect::Dialect;
