--- a/src/member/tests/wire.rs
+++ b/src/member/tests/wire.rs
@@ -39,7 +39,7 @@
 #[case::no_port(claim(0), Some(wire::Error::Port))]
 #[case::good_name(record(0), None)]
 #[case::no_such_name(record(1), Some(wire::Error::Name))]
-#[case::no_such_zone(wire::Item::Dark { zone: 1 }, Some(wire::Error::Name))]
+#[case::no_such_zone(wire::Item::Unreachable { zone: 1 }, Some(wire::Error::Name))]
 fn items_are_checked(#[case] item: wire::Item, #[case] error: Option<wire::Error>) {
     let bytes = wire::encode(&datagram(wire::Body::Gossip, vec![item])).unwrap();
     assert_eq!(wire::decode(&bytes).err(), error);
@@ -100,7 +100,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn any_bytes_are_survived(bytes in proptest::collection::vec(any::<u8>(), 0..wire::MOST_BYTES)) {
+    fn any_bytes_are_survived(bytes in proptest::collection::vec(any::<u8>(), 0..wire::MAX_BYTES)) {
         let _ = wire::decode(&bytes);
     }
 
@@ -141,7 +141,7 @@
         let datagram = packer.finish();
         prop_assert_eq!(datagram.items.len(), packed);
         let bytes = wire::encode(&datagram).unwrap();
-        prop_assert!(bytes.len() + seal::TAG_BYTES <= wire::MOST_BYTES);
+        prop_assert!(bytes.len() + seal::TAG_BYTES <= wire::MAX_BYTES);
         prop_assert_eq!(wire::decode(&bytes), Ok(datagram));
     }
 }
