--- a/src/claim/circuit.rs
+++ b/src/claim/circuit.rs
@@ -5,10 +5,10 @@
 use crate::clock;
 
 /// Pause after a single failure, which may be no more than a lost answer.
-const FIRST_PAUSE: time::Duration = time::Duration::from_millis(20);
+const SINGLE_FAILURE_PAUSE: time::Duration = time::Duration::from_millis(20);
 
 /// Pause after the second failure in a row; it doubles with each further failure.
-const BASE_PAUSE: time::Duration = time::Duration::from_millis(250);
+const INITIAL_PAUSE: time::Duration = time::Duration::from_millis(250);
 
 /// Upper bound of the pause.
 const MAX_PAUSE: time::Duration = time::Duration::from_secs(4);
@@ -26,8 +26,8 @@
     /// Records a failure and returns whether the circuit is open now.
     pub fn fail(&mut self, now: clock::Instant) -> bool {
         let doublings = self.failures.saturating_sub(1).min(8);
-        let pause = BASE_PAUSE.saturating_mul(1 << doublings).min(MAX_PAUSE);
-        self.until = now + if self.failures == 0 { FIRST_PAUSE } else { pause };
+        let pause = INITIAL_PAUSE.saturating_mul(1 << doublings).min(MAX_PAUSE);
+        self.until = now + if self.failures == 0 { SINGLE_FAILURE_PAUSE } else { pause };
         self.failures = self.failures.saturating_add(1);
         self.failures > 1
     }
--- a/src/claim/fold.rs
+++ b/src/claim/fold.rs
@@ -91,8 +91,8 @@
 
     /// Whether the window has passed since `offset_ms` milliseconds into `segment`.
     fn is_expired(&self, segment: &Segment, offset_ms: u32) -> bool {
-        let began = segment.index * self.segment_ms() + u64::from(offset_ms);
-        self.now_ms >= began + self.window_ms
+        let start_ms = segment.index * self.segment_ms() + u64::from(offset_ms);
+        self.now_ms >= start_ms + self.window_ms
     }
 
     /// Claims and releases within `span` before the latest log time, as entries that bring another
@@ -102,8 +102,8 @@
         let since_ms = self.now_ms.saturating_sub(span_ms);
         let mut entries = Vec::new();
         for segment in &self.segments {
-            let began = segment.index * self.segment_ms();
-            let recent = |offset_ms: u32| began + u64::from(offset_ms) >= since_ms;
+            let start_ms = segment.index * self.segment_ms();
+            let recent = |offset_ms: u32| start_ms + u64::from(offset_ms) >= since_ms;
             let voids = segment.void.iter().filter(|(_, offset_ms)| recent(**offset_ms));
             entries.extend(voids.map(|(&(key, attempt), _)| record::Entry {
                 key,
--- a/src/claim/ledger.rs
+++ b/src/claim/ledger.rs
@@ -245,10 +245,9 @@
         self.perform(actions, now);
         let answers = self.registry.tick(now);
         self.deliver(answers, now);
-        if let Some((host, id, record)) =
-            self.delivery.poll(now, self.ctx.clock.unix_millis(), last)
+        if let Some((host, id, total)) = self.delivery.poll(now, self.ctx.clock.unix_millis(), last)
         {
-            let frame = wire::encode(&wire::Request::Usage { id, record });
+            let frame = wire::encode(&wire::Request::Usage { id, total });
             if !self.connector.send(host, frame, &self.shared) {
                 self.delivery.disconnected(now);
             }
@@ -284,7 +283,7 @@
                     self.request(origin, request.entry, now + remaining, now);
                 }
             }
-            wire::Request::Usage { id, record } => self.delivery.add(Some((number, id)), record),
+            wire::Request::Usage { id, total } => self.delivery.add(Some((number, id)), total),
         }
     }
 
--- a/src/claim/record.rs
+++ b/src/claim/record.rs
@@ -50,7 +50,7 @@
 pub struct Process {
     /// The host.
     pub host: host::HostId,
-    /// Which process on that host.
+    /// Incarnation of the process, which tells it from others on that host.
     pub incarnation: u64,
 }
 
--- a/src/claim/requests.rs
+++ b/src/claim/requests.rs
@@ -61,7 +61,7 @@
     /// Those of them whose answer is outstanding.
     outstanding: Vec<host::HostId>,
     /// When the last writer was asked.
-    since: clock::Instant,
+    asked_at: clock::Instant,
 }
 
 /// A release that is not confirmed to be in the log yet.
@@ -73,7 +73,7 @@
     /// When it is requested again.
     due: clock::Instant,
     /// When retrying ends, since the claim is forgotten by then.
-    until: clock::Instant,
+    expires: clock::Instant,
 }
 
 /// The claims and releases of one node that wait for an answer.
@@ -140,7 +140,7 @@
         self.ids += 1;
         let asked = vec![host];
         let outstanding = asked.clone();
-        let claim = Claim { token, entry, deadline, asked, outstanding, since: now };
+        let claim = Claim { token, entry, deadline, asked, outstanding, asked_at: now };
         self.claims.insert(self.ids, claim);
         actions.push(Action::Send { host, id: self.ids, entry, deadline });
     }
@@ -152,15 +152,21 @@
             return;
         }
         self.ids += 1;
-        let until = now + self.limits.window;
-        let release = Release { id: self.ids, attempts: 0, due: now, until };
+        let expires = now + self.limits.window;
+        let release = Release { id: self.ids, attempts: 0, due: now, expires };
         self.release_ids.insert(self.ids, entry);
         self.releases.insert(entry, release);
         self.repeat(entry, now, actions);
     }
 
     /// Handles the answer of a writer to the request `id`.
-    pub fn answer(&mut self, id: u64, answer: Answer, now: clock::Instant, to: &mut Vec<Action>) {
+    pub fn answer(
+        &mut self,
+        id: u64,
+        answer: Answer,
+        now: clock::Instant,
+        actions: &mut Vec<Action>,
+    ) {
         if let Some(entry) = self.release_ids.get(&id).copied() {
             if answer == Answer::Released {
                 self.release_ids.remove(&id);
@@ -182,11 +188,11 @@
         }
         let written = !matches!(answer, Answer::Failed { written: false, .. });
         // Another writer that was asked as well may still write the claim.
-        let stray = claim.asked.len() > 1;
-        if result != Ok(Verdict::First) && (stray || (result.is_err() && written)) {
-            self.release(claim.entry, now, to);
+        let several = claim.asked.len() > 1;
+        if result != Ok(Verdict::First) && (several || (result.is_err() && written)) {
+            self.release(claim.entry, now, actions);
         }
-        to.push(Action::Reply(claim.token, result));
+        actions.push(Action::Reply(claim.token, result));
     }
 
     /// Handles a failed connection to `host`: claims that wait for its writer go to the next one.
@@ -223,7 +229,7 @@
             actions.push(Action::Reply(claim.token, Err(claim::Error::Late)));
         }
         let hedge = self.limits.hedge;
-        for id in self.matching(|claim| now.since(claim.since) >= hedge) {
+        for id in self.matching(|claim| now.since(claim.asked_at) >= hedge) {
             self.ask_next(id, now, actions);
         }
         let due = self.releases.iter().filter(|(_, r)| r.due <= now);
@@ -233,8 +239,8 @@
         }
     }
 
-    fn matching(&self, is: impl Fn(&Claim) -> bool) -> Vec<u64> {
-        self.claims.iter().filter(|(_, claim)| is(claim)).map(|(&id, _)| id).collect()
+    fn matching(&self, predicate: impl Fn(&Claim) -> bool) -> Vec<u64> {
+        self.claims.iter().filter(|(_, claim)| predicate(claim)).map(|(&id, _)| id).collect()
     }
 
     fn partition(&self, entry: &Entry) -> u16 {
@@ -261,9 +267,9 @@
     fn ask_next(&mut self, id: u64, now: clock::Instant, actions: &mut Vec<Action>) -> bool {
         let Some(claim) = self.claims.get_mut(&id) else { return false };
         let partition = writers::partition(claim.entry.key, self.limits.partitions);
-        let choice = self.table.candidate(partition, claim.asked.len());
-        claim.since = now;
-        if let Some(host) = choice.filter(|host| !claim.asked.contains(host)) {
+        let candidate = self.table.candidate(partition, claim.asked.len());
+        claim.asked_at = now;
+        if let Some(host) = candidate.filter(|host| !claim.asked.contains(host)) {
             claim.asked.push(host);
             claim.outstanding.push(host);
             let Claim { entry, deadline, .. } = *claim;
@@ -277,15 +283,15 @@
     fn repeat(&mut self, entry: Entry, now: clock::Instant, actions: &mut Vec<Action>) {
         let partition = self.partition(&entry);
         let Some(release) = self.releases.get_mut(&entry) else { return };
-        if release.until <= now {
+        if release.expires <= now {
             self.release_ids.remove(&release.id);
             self.releases.remove(&entry);
             return;
         }
-        let choice = self.table.candidate(partition, release.attempts);
+        let candidate = self.table.candidate(partition, release.attempts);
         release.attempts += 1;
         release.due = now + RETRY_DELAY;
-        if let Some(host) = choice {
+        if let Some(host) = candidate {
             let (id, deadline) = (release.id, now + RETRY_DELAY);
             actions.push(Action::Send { host, id, entry, deadline });
         }
--- a/src/claim/shell.rs
+++ b/src/claim/shell.rs
@@ -124,9 +124,9 @@
     },
 }
 
-/// Runs the duty until the stage is [`node::Stage::End`] and all counted usage is in the log, or
-/// the flush time has passed. It spawns local tasks and must run in a `tokio::task::LocalSet`, as
-/// [`node::duty::Duty`] provides.
+/// Runs the duty until the stage is [`node::Stage::End`], and from then on until all counted usage
+/// is in the log or the flush time has passed. It spawns local tasks and must run in a
+/// `tokio::task::LocalSet`, as [`node::duty::Duty`] provides.
 ///
 /// # Errors
 ///
--- a/src/claim/tests/sim.rs
+++ b/src/claim/tests/sim.rs
@@ -65,7 +65,7 @@
 struct Host {
     writer: Writer,
     generation: u32,
-    awake: u64,
+    paused_until: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -90,6 +90,7 @@
     log: Vec<logs::Record>,
     hosts: Vec<Host>,
     calls: Vec<Call>,
+    /// Call and operation of each request, by its token.
     asked: Vec<(usize, Op)>,
     /// Pairs of claims on one key that were granted at the same time; must stay empty.
     pub concurrent: Vec<(Entry, Entry)>,
@@ -107,7 +108,7 @@
 impl Sim {
     /// A simulation whose random choices follow from `seed`.
     pub fn new(seed: u64, faults: Faults) -> Self {
-        let host = || Host { writer: new_writer(), generation: 0, awake: 0 };
+        let host = || Host { writer: new_writer(), generation: 0, paused_until: 0 };
         Self {
             rng: StdRng::seed_from_u64(seed),
             faults,
@@ -235,7 +236,7 @@
     fn disturb(&mut self) {
         let host = self.rng.random_range(0..WRITERS);
         if self.chance(self.faults.pause) {
-            self.hosts[host].awake = self.now + self.rng.random_range(10..1500);
+            self.hosts[host].paused_until = self.now + self.rng.random_range(10..1500);
         }
         if self.chance(self.faults.restart) {
             let host = &mut self.hosts[host];
@@ -246,7 +247,7 @@
 
     /// Passes `event` to the writer of `host` once it is awake, unless it was restarted since.
     fn deliver(&mut self, host: usize, generation: u32, event: Event) {
-        let late = self.hosts[host].awake.saturating_sub(self.now);
+        let late = self.hosts[host].paused_until.saturating_sub(self.now);
         if self.hosts[host].generation != generation {
             return;
         }
@@ -324,9 +325,9 @@
 
     fn grant(&mut self, call: usize) {
         let mine = self.calls[call];
-        let beside = |c: &&Call| c.state == State::Granted && c.claim.key == mine.claim.key;
-        let beside = self.calls.iter().find(beside).map(|c| (c.claim, mine.claim));
-        self.concurrent.extend(beside);
+        let conflicts = |c: &&Call| c.state == State::Granted && c.claim.key == mine.claim.key;
+        let conflict = self.calls.iter().find(conflicts).map(|c| (c.claim, mine.claim));
+        self.concurrent.extend(conflict);
         self.calls[call].state = State::Granted;
         if mine.releases {
             let wait = self.rng.random_range(1..300);
--- a/src/claim/wire.rs
+++ b/src/claim/wire.rs
@@ -70,12 +70,12 @@
 pub enum Request {
     /// Claims and releases.
     Claims(Vec<ClaimRequest>),
-    /// A record for the `usage` stream.
+    /// A total of usage for the `usage` stream.
     Usage {
-        /// Identifies the record on its connection.
+        /// Identifies the total on its connection.
         id: u64,
-        /// The record.
-        record: Bytes,
+        /// The encoded total.
+        total: Bytes,
     },
 }
 
@@ -84,9 +84,9 @@
 pub enum Response {
     /// Replies, each with the id of its request.
     Claims(Vec<(u64, Reply)>),
-    /// The record is in the log.
+    /// The total is in the log.
     Usage {
-        /// Id of the record.
+        /// Id of the total.
         id: u64,
     },
 }
--- a/src/node/shell.rs
+++ b/src/node/shell.rs
@@ -103,7 +103,7 @@
         if self.calls.is_finished() { lifecycle::Event::Idle } else { lifecycle::Event::Tick }
     }
 
-    /// Whether a duty has ended before its time.
+    /// Whether a duty has ended that should still run.
     fn has_failed(&self, stage: node::Stage) -> bool {
         let calls = stage < node::Stage::Drain && self.calls.is_finished();
         calls || self.others.iter().any(duty::Duty::is_finished)
@@ -161,9 +161,9 @@
         let (applied_sender, applied) = watch::channel(Arc::default());
         let (view_sender, view) = watch::channel(Arc::default());
         let (local_sender, local) = watch::channel(None);
-        let (heard_sender, heard) = ring::bounded(MISMATCH_CAPACITY);
+        let (mismatches_sender, mismatches) = ring::bounded(MISMATCH_CAPACITY);
         let (tallies_sender, tallies) = ring::bounded(COUNTS_CAPACITY);
-        self.metrics.ring("heard", &heard_sender);
+        self.metrics.ring("heard", &mismatches_sender);
         let (usage_sender, usage) = ring::bounded(COUNTS_CAPACITY);
         let (claims, receivers) = claim::handle::pair();
         self.metrics.ring("tallies", &tallies_sender);
@@ -175,7 +175,7 @@
         let member = self.member(member::shell::Wiring {
             applied: applied.clone(),
             view: view_sender,
-            heard: heard_sender,
+            heard: mismatches_sender,
             local: local.clone(),
             quarantine: reports,
             stage: self.stage.subscribe(),
@@ -184,7 +184,7 @@
         let spread = self.spread(spread::shell::Wiring {
             applied: applied_sender,
             view: view.clone(),
-            heard,
+            heard: mismatches,
             log: self.log(),
             stage: self.stage.subscribe(),
             traffic: Arc::clone(&self.traffic),
--- a/src/usage/delivery.rs
+++ b/src/usage/delivery.rs
@@ -32,7 +32,8 @@
 pub struct Delivery<L> {
     host: host::HostId,
     zone: SmolStr,
-    count: usize,
+    /// Number of writers in the settings; each node prefers one of them.
+    writer_count: usize,
     log: L,
     inputs: mpsc::Sender<Input>,
     outbox: outbox::Outbox,
@@ -52,16 +53,16 @@
         inputs: mpsc::Sender<Input>,
     ) -> Self {
         let flush = time::Duration::from_millis(settings.usage.flush_ms);
-        let group = time::Duration::from_millis(settings.usage.group_ms);
+        let interval = time::Duration::from_millis(settings.usage.group_ms);
         let (host, incarnation) = (settings.host(), ctx.seed_for("usage"));
         Self {
             host,
             zone: settings.zone.clone(),
-            count: usize::from(settings.usage.writers.max(1)),
+            writer_count: usize::from(settings.usage.writers.max(1)),
             log,
             inputs,
             outbox: outbox::Outbox::new(host, incarnation, flush, ctx.now()),
-            collector: collect::Collector::new(group),
+            collector: collect::Collector::new(interval),
             writers: Vec::new(),
             own: None,
         }
@@ -75,7 +76,7 @@
             .filter(|h| h.locality.zone == self.zone && h.health != view::Health::Unreachable)
             .map(|h| (h.id.weight(PURPOSE, 0), h.id))
             .collect();
-        let kept = (self.count + SPARE_WRITERS).min(writers.len());
+        let kept = (self.writer_count + SPARE_WRITERS).min(writers.len());
         if kept > 0 {
             writers.select_nth_unstable(kept - 1);
         }
@@ -90,8 +91,8 @@
     }
 
     /// Adds a total to be written here.
-    pub fn add(&mut self, origin: Origin, record: Bytes) {
-        self.collector.add(origin, record);
+    pub fn add(&mut self, origin: Origin, total: Bytes) {
+        self.collector.add(origin, total);
     }
 
     /// Starts an append if one is due and returns a total to send, if any: the writer, the total's
@@ -147,8 +148,8 @@
     /// Chooses the writer of a total. The total is written here, and `None` returned, when that is
     /// this node or no writer is known.
     fn route(&mut self, send: outbox::Send) -> Option<(host::HostId, u64, Bytes)> {
-        let spread = self.host.weight(PURPOSE, 1) % self.count as u64;
-        let first = usize::try_from(spread).unwrap_or(0);
+        let preferred = self.host.weight(PURPOSE, 1) % self.writer_count as u64;
+        let first = usize::try_from(preferred).unwrap_or(0);
         let index = (first + send.attempts).checked_rem(self.writers.len());
         let writer = index.and_then(|index| self.writers.get(index)).copied();
         match writer {
--- a/src/usage/mod.rs
+++ b/src/usage/mod.rs
@@ -1,6 +1,6 @@
 //! Usage by organisation and kind.
 //!
-//! The entry node of a call counts it once, when it has answered. Each organisation is charged for
+//! The entry node of a call counts it once, after answering it. Each organisation is charged for
 //! the calls that its services answered completely, each with the weight of its kind.
 
 use std::time;
--- a/src/usage/sum.rs
+++ b/src/usage/sum.rs
@@ -1,4 +1,4 @@
-//! Adds up the `usage` stream to charges by organisation, kind and period.
+//! Computes the charges by organisation, kind and period from the `usage` stream.
 
 use std::collections;
 
