--- a/src/member/directory/search/tests.rs
+++ b/src/member/directory/search/tests.rs
@@ -17,8 +17,10 @@
 use crate::version;
 use crate::view;
 
-const PACE: search::Pace =
-    search::Pace { again: time::Duration::from_secs(10), retry: time::Duration::from_millis(200) };
+const PACE: search::Intervals = search::Intervals {
+    refresh: time::Duration::from_secs(10),
+    retry: time::Duration::from_millis(200),
+};
 
 #[rstest]
 #[case::looked(0, 10_000)]
@@ -61,7 +63,7 @@
         true
     }
 
-    async fn enter(
+    async fn register(
         &self,
         host: host::HostId,
         profile: &directory::Profile,
@@ -84,7 +86,7 @@
         Ok(book.hosts.iter().map(listed).collect())
     }
 
-    async fn leave(&self, host: host::HostId) -> Result<(), Self::Error> {
+    async fn deregister(&self, host: host::HostId) -> Result<(), Self::Error> {
         self.book().hosts.remove(&host);
         Ok(())
     }
@@ -231,7 +233,7 @@
 
 /// The host runs a configuration read in `epoch`.
 fn run(host: &Host, epoch: u64) {
-    let version = version::Version::settled(3, crate::logs::ordinal(epoch, 4));
+    let version = version::Version::assigned(3, crate::logs::ordinal(epoch, 4));
     let stamp = version::VersionId { version, ..Default::default() };
     host.applied.send_replace(Arc::new(mesh::Applied { version_id: stamp, ..Default::default() }));
 }
--- a/src/node/shell.rs
+++ b/src/node/shell.rs
@@ -175,7 +175,7 @@
         let member = self.member(member::shell::Wiring {
             applied: applied.clone(),
             view: view_sender,
-            heard: mismatches_sender,
+            mismatches: mismatches_sender,
             local: local.clone(),
             quarantine: reports,
             stage: self.stage.subscribe(),
@@ -184,7 +184,7 @@
         let spread = self.spread(spread::shell::Wiring {
             applied: applied_sender,
             view: view.clone(),
-            heard: mismatches,
+            mismatches,
             log: self.log(),
             stage: self.stage.subscribe(),
             traffic: Arc::clone(&self.traffic),
