--- a/src/member/detect.rs
+++ b/src/member/detect.rs
@@ -1,4 +1,4 @@
-//! Which hosts, and which availability zones, don't answer.
+//! Failure detection: which hosts, and which availability zones, don't answer.
 
 use std::collections;
 use std::time;
@@ -21,10 +21,10 @@
 /// Hosts of a silent zone that are probed at once.
 const ZONE_SAMPLE: usize = 3;
 
-/// Hosts pinged to find out what became of this one.
+/// Hosts pinged to confirm this host's own standing.
 const CONFIRM_PINGS: usize = 3;
 
-/// Every so many knocks a configured address is tried even while other hosts answer.
+/// Every so many reconnect probes a configured address is tried although other hosts answer.
 const JOIN_ADDRESS_EVERY: u32 = 8;
 
 /// Timers of detection.
@@ -32,17 +32,18 @@
 pub struct Timers {
     /// When each suspect is declared dead.
     suspects: collections::BTreeMap<host::HostId, clock::Instant>,
-    knock: clock::Instant,
+    next_reconnect: clock::Instant,
+    /// Reconnect probes sent so far.
     reconnects: u32,
-    forget: clock::Instant,
-    /// When this host last asked what the others hold against it.
-    confirmed_at: Option<clock::Instant>,
-    /// When doubt of the own standing ends although nobody answered.
+    next_cleanup: clock::Instant,
+    /// When this host last asked others to confirm its standing.
+    asked_at: Option<clock::Instant>,
+    /// When this host acts alone because nobody has confirmed its standing.
     alone_at: Option<clock::Instant>,
 }
 
 impl Timers {
-    /// Gives `id` until `deadline` to refute.
+    /// Gives `id` until `deadline` to refute the suspicion; an earlier deadline stays.
     pub fn suspect(&mut self, id: host::HostId, deadline: clock::Instant) {
         self.suspects.entry(id).or_insert(deadline);
     }
@@ -52,31 +53,31 @@
         self.suspects.remove(&id);
     }
 
-    /// When a timer is due next.
+    /// When the next timer is due.
     pub fn wake(&self) -> clock::Instant {
-        let timers = [self.knock, self.forget].into_iter().chain(self.alone_at);
+        let timers = [self.next_reconnect, self.next_cleanup].into_iter().chain(self.alone_at);
         let due = timers.chain(self.suspects.values().copied()).min();
-        due.unwrap_or(self.forget)
+        due.unwrap_or(self.next_cleanup)
     }
 }
 
 impl member::Member {
-    /// Sets the first timers, each at a random part of its period.
+    /// Starts all timers, each after a random part of its period.
     pub(super) fn start_timers(&mut self) {
         let part = self.rng.random_range(0.0..1.0);
-        self.prober.forgive(self.now + millis(self.settings.probe_ms).mul_f64(part));
-        self.detect.knock = self.now + millis(self.settings.knock_ms).mul_f64(part);
-        self.detect.forget = self.now + member::CLEANUP_INTERVAL.mul_f64(part);
-        // A herd that starts at once must not ask at once.
+        self.prober.restart(self.now + millis(self.settings.probe_ms).mul_f64(part));
+        self.detect.next_reconnect = self.now + millis(self.settings.knock_ms).mul_f64(part);
+        self.detect.next_cleanup = self.now + member::CLEANUP_INTERVAL.mul_f64(part);
+        // Hosts that all start at once must not all ask for pages at once.
         self.join.delay(millis(self.settings.join_ms).mul_f64(part));
     }
 
-    /// Sends the probe that is due.
+    /// Carries out the probe steps that are due.
     pub(super) fn run_probes(&mut self) {
         let period = self.jittered(millis(self.settings.probe_ms));
         while let Some(step) = self.prober.step(period, self.now) {
             match step {
-                probe::Step::Ask(target) => {
+                probe::Step::AskHelpers(target) => {
                     let sequence = self.probe(target, false);
                     for helper in self.sample(usize::from(self.settings.helpers), target) {
                         self.send(helper, wire::Body::PingRequest { sequence, target });
@@ -105,17 +106,17 @@
         }
     }
 
-    /// Pings the host under probe; helpers are asked later if `ask` says so.
+    /// Pings the host under probe; with `ask`, helpers are asked when no ack comes in time.
     fn probe(&mut self, target: host::HostId, ask: bool) -> u32 {
         let sequence = self.ping(target);
         if ask {
-            let late = self.now + millis(self.settings.answer_ms);
-            self.prober.record_ping(target, sequence, late, self.now);
+            let deadline = self.now + millis(self.settings.answer_ms);
+            self.prober.record_ping(target, sequence, deadline, self.now);
         }
         sequence
     }
 
-    /// Pings `target`; gives the number of the ping.
+    /// Pings `target`; returns the sequence number of the ping.
     pub(super) fn ping(&mut self, target: host::HostId) -> u32 {
         self.sequence = self.sequence.wrapping_add(1);
         let running = self.running_here();
@@ -123,7 +124,7 @@
         self.sequence
     }
 
-    /// `from` answered a ping.
+    /// Handles the ack of `from`, and passes it on if the ping was sent for another host.
     pub(super) fn acknowledged(&mut self, from: host::HostId, sequence: u32) {
         self.prober.record_answer(from, sequence);
         self.change_standing(standing::Event::Answered(sequence));
@@ -133,13 +134,13 @@
         }
     }
 
-    /// A helper says that `target` answered it.
+    /// Handles the message of a helper that `target` answered its ping.
     pub(super) fn indirectly_acked(&mut self, target: host::HostId, sequence: u32) {
         self.prober.record_answer(target, sequence);
         self.record_contact(target);
     }
 
-    /// Pings `target` for `asker`.
+    /// Pings `target` on behalf of `asker`.
     pub(super) fn relay_ping(&mut self, asker: host::HostId, sequence: u32, target: host::HostId) {
         if target != self.id {
             let own = self.ping(target);
@@ -147,21 +148,22 @@
         }
     }
 
-    /// Notes a sign of life of the zone of `id`.
+    /// Records contact by host `id`: its zone is reachable, and a check of the zone ends.
     pub(super) fn record_contact(&mut self, id: host::HostId) {
         let Some(zone) = self.zone(id) else { return };
-        let lift = self.zones.record_contact(&zone, self.now);
-        if lift.dark {
+        let contact = self.zones.record_contact(&zone, self.now);
+        if contact.was_unreachable {
             log::info!(zone = zone.as_str(); "availability zone answers again");
             self.dirty = true;
             self.updates.remove(&updates::Topic::Unreachable(zone));
         }
-        for id in lift.suspects {
+        for id in contact.suspects {
             self.suspect(id);
         }
     }
 
-    /// `target` did not answer since `began`: suspects it, or first checks its zone.
+    /// Handles the failed probe of `target`, which began at `began`: suspects the host, or first
+    /// checks its zone if no other host of it has made contact since.
     fn fail(&mut self, target: host::HostId, began: clock::Instant) {
         let Some(zone) = self.zone(target) else { return };
         if self.zones.contacted_since(&zone, began) || !self.check_zone(&zone, Some(target)) {
@@ -169,7 +171,8 @@
         }
     }
 
-    /// Probes some hosts of a silent zone; `false` when it has no other host to ask.
+    /// Probes some hosts of a silent zone; `false` when it has no host to probe other than
+    /// `suspect`.
     fn check_zone(&mut self, zone: &SmolStr, suspect: Option<host::HostId>) -> bool {
         if self.zones.is_unreachable(zone) {
             return true;
@@ -186,21 +189,22 @@
         true
     }
 
-    /// Others say that they can't reach `zone`.
+    /// Checks `zone`, which another host reports as unreachable, unless a host of it made contact
+    /// within the last two probe periods.
     pub(super) fn check_reported_zone(&mut self, zone: &SmolStr) {
         let period = millis(self.settings.probe_ms);
-        let lately = clock::Instant::from_micros(
+        let recent = clock::Instant::from_micros(
             self.now.as_micros().saturating_sub(2 * period.as_micros() as u64),
         );
-        if !self.zones.contacted_since(zone, lately) {
+        if !self.zones.contacted_since(zone, recent) {
             self.check_zone(zone, None);
         }
     }
 
-    /// A few random present hosts of `zone` without `but`.
-    fn sample_zone(&mut self, zone: &SmolStr, but: Option<host::HostId>) -> Vec<host::HostId> {
+    /// A few random hosts of `zone` that nobody suspects, except `excluded`.
+    fn sample_zone(&mut self, zone: &SmolStr, excluded: Option<host::HostId>) -> Vec<host::HostId> {
         let table = &self.table;
-        let present = self.peers.iter().copied().filter(|&id| Some(id) != but);
+        let present = self.peers.iter().copied().filter(|&id| Some(id) != excluded);
         let inside = |id: &host::HostId| {
             table.get(*id).is_some_and(|e| e.claim.is_none() && e.record.locality.zone == *zone)
         };
@@ -214,17 +218,17 @@
         self.apply_change(id, change, updates::Priority::Soon, gossip::Source::Gossip);
     }
 
-    /// Runs what is due of checks, suspicions, knocks and forgetting.
+    /// Runs the checks, suspicions, reconnect probes and clean-ups that are due.
     pub(super) fn run_detection(&mut self) {
         self.run_checks();
         self.run_suspicions();
-        if self.detect.knock <= self.now {
-            self.detect.knock = self.now + self.jittered(millis(self.settings.knock_ms));
+        if self.detect.next_reconnect <= self.now {
+            self.detect.next_reconnect = self.now + self.jittered(millis(self.settings.knock_ms));
             self.probe_lost();
         }
-        if self.detect.forget <= self.now {
-            self.detect.forget = self.now + self.jittered(member::CLEANUP_INTERVAL);
-            self.forget();
+        if self.detect.next_cleanup <= self.now {
+            self.detect.next_cleanup = self.now + self.jittered(member::CLEANUP_INTERVAL);
+            self.clean_up();
         }
         if self.detect.alone_at.take_if(|at| *at <= self.now).is_some() {
             self.change_standing(standing::Event::Alone);
@@ -260,7 +264,8 @@
         }
     }
 
-    /// Declares `id` dead, unless nothing was heard from its zone in the meantime.
+    /// Declares `id` dead. If no host of its zone has made contact since the suspicion, the zone is
+    /// checked first and the suspicion starts again.
     fn end_suspicion(&mut self, id: host::HostId) {
         self.detect.clear(id);
         let Some(entry) = self.table.get(id) else { return };
@@ -274,28 +279,30 @@
         self.apply_change(id, change, updates::Priority::Urgent, gossip::Source::Gossip);
     }
 
-    /// Pings a host that is not among the probed ones: of a dark zone, dead, or configured.
+    /// Sends a reconnect probe to a host outside the schedule of probes: a dead host, a host of an
+    /// unreachable zone, or a configured host that is not known.
     fn probe_lost(&mut self) {
         self.detect.reconnects = self.detect.reconnects.wrapping_add(1);
         let lost = |id: host::HostId, e: &table::Entry| {
-            let dark = e.is_present() && self.zones.is_unreachable(&e.record.locality.zone);
-            id != self.id && (dark || e.claim == Some(wire::Claim::Dead))
+            let zone_lost = e.is_present() && self.zones.is_unreachable(&e.record.locality.zone);
+            id != self.id && (zone_lost || e.claim == Some(wire::Claim::Dead))
         };
         let lost: Vec<_> = self.table.iter().filter(|(id, e)| lost(*id, e)).collect();
         let mut target = lost.choose(&mut self.rng).map(|(id, _)| *id);
         if self.peers.is_empty() || self.detect.reconnects.is_multiple_of(JOIN_ADDRESS_EVERY) {
-            let strangers = self.join.addresses().filter(|&id| self.table.get(id).is_none());
-            let strangers: Vec<_> = strangers.collect();
-            target = strangers.choose(&mut self.rng).copied().or(target);
+            let unknown = self.join.addresses().filter(|&id| self.table.get(id).is_none());
+            let unknown: Vec<_> = unknown.collect();
+            target = unknown.choose(&mut self.rng).copied().or(target);
         }
         if let Some(target) = target {
             self.ping(target);
         }
     }
 
-    fn forget(&mut self) {
-        let dark_limit = time::Duration::from_secs(self.settings.dark_s);
-        let old = self.zones.dark().filter(|(_, since)| self.now.since(*since) > dark_limit);
+    /// Removes state that has expired.
+    fn clean_up(&mut self) {
+        let limit = time::Duration::from_secs(self.settings.dark_s);
+        let old = self.zones.unreachable().filter(|(_, since)| self.now.since(*since) > limit);
         let zones: Vec<SmolStr> = old.map(|(zone, _)| zone.clone()).collect();
         for zone in zones {
             self.expire_zone(&zone);
@@ -304,7 +311,8 @@
         self.quarantine.forget(self.now);
     }
 
-    /// Counts the hosts of a zone that was dark for too long as dead, without telling anyone.
+    /// Marks the hosts of a zone that was unreachable for too long as dead, without gossip: every
+    /// host does so by itself.
     fn expire_zone(&mut self, zone: &SmolStr) {
         let inside = |e: &table::Entry| e.is_present() && e.record.locality.zone == *zone;
         let hosts = self.table.iter().filter(|(id, e)| *id != self.id && inside(e));
@@ -317,36 +325,37 @@
         }
     }
 
-    /// Pings a few hosts so that they say what they hold against this one; at most once a period,
-    /// so that claims that can't be refuted make no storm.
+    /// Pings a few hosts, which answer with any claim against this one. Does so at most once a
+    /// probe period, so that a claim that can't be refuted does not cause a storm of pings.
     pub(super) fn confirm_standing(&mut self) {
         let period = millis(self.settings.probe_ms);
-        if self.detect.confirmed_at.is_some_and(|at| self.now.since(at) < period) {
+        if self.detect.asked_at.is_some_and(|at| self.now.since(at) < period) {
             return;
         }
-        self.detect.confirmed_at = Some(self.now);
+        self.detect.asked_at = Some(self.now);
         self.detect.alone_at = Some(self.now + millis(self.settings.alone_ms));
         for id in self.sample(CONFIRM_PINGS, self.id) {
             self.ping(id);
         }
     }
 
-    /// Gives everyone the time that this process did not run.
-    pub(super) fn forgive(&mut self, gap: time::Duration) {
+    /// Extends all deadlines by the `gap` in which this process did not run, and drops probes and
+    /// checks under way: it could not receive answers meanwhile.
+    pub(super) fn compensate_pause(&mut self, gap: time::Duration) {
         log::warn!(gap_ms = gap.as_millis() as u64; "process was paused");
-        self.prober.forgive(self.now);
-        self.zones.forgive();
+        self.prober.restart(self.now);
+        self.zones.cancel_checks();
         self.detect.suspects.values_mut().for_each(|at| *at = *at + gap);
     }
 
-    /// Time a suspect has to refute.
+    /// Time for which a suspect may refute; it grows with the logarithm of the number of hosts.
     pub(super) fn suspicion_timeout(&self) -> time::Duration {
         let tenfolds = (self.table.present() as f64).log10().max(1.0);
         let period = millis(self.settings.probe_ms);
         (period * u32::from(self.settings.suspicion)).mul_f64(tenfolds)
     }
 
-    /// Whether `id` is known and not in a dark zone.
+    /// Whether `id` is known and its zone is not unreachable.
     pub(super) fn is_reachable(&self, id: host::HostId) -> bool {
         self.zone(id).is_some_and(|zone| !self.zones.is_unreachable(&zone))
     }
@@ -355,13 +364,13 @@
         self.table.get(id).map(|e| e.record.locality.zone.clone())
     }
 
-    /// Time for one round of probes of a zone.
+    /// Duration of one round of probes of a zone.
     fn round(&self) -> time::Duration {
         millis(2 * self.settings.answer_ms)
     }
 }
 
-/// `count` milliseconds.
+/// Converts a setting in milliseconds.
 pub fn millis(count: u64) -> time::Duration {
     time::Duration::from_millis(count)
 }
--- a/src/member/directory.rs
+++ b/src/member/directory.rs
@@ -1,4 +1,4 @@
-//! Where the hosts of a mesh find one another.
+//! Directory in which the hosts of a mesh find one another.
 
 use std::error;
 use std::future;
@@ -11,43 +11,43 @@
 
 pub(super) mod search;
 
-/// A profile that can't be written or read.
+/// A profile could not be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 #[error("the profile of a host is malformed")]
 pub struct Malformed(#[from] postcard::Error);
 
-/// What a host says of itself to those that start.
+/// What a host registers about itself for hosts that start.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Profile {
-    /// Number of the life in which it said so.
+    /// Incarnation of the process that registered it.
     pub incarnation: u64,
-    /// Where it stands.
+    /// Region and availability zone.
     pub locality: view::Locality,
     /// The upstream beside it; `None` while there is none.
     pub upstream: Option<view::Upstream>,
 }
 
 impl Profile {
-    /// The bytes that a directory keeps.
+    /// Encodes the profile for storage in a directory.
     ///
     /// # Errors
     ///
-    /// The codec can't write it.
+    /// Fails when the codec fails.
     pub fn encode(&self) -> Result<Vec<u8>, Malformed> {
         Ok(postcard::to_allocvec(self)?)
     }
 
-    /// What `bytes` say.
+    /// Decodes a stored profile.
     ///
     /// # Errors
     ///
-    /// They were written by something else.
+    /// Fails when `bytes` are not an encoded profile.
     pub fn decode(bytes: &[u8]) -> Result<Self, Malformed> {
         Ok(postcard::from_bytes(bytes)?)
     }
 
-    /// Whether `other` tells the same to those that start: lives and phases are heard from the host
-    /// itself.
+    /// Whether `other` is as good as this profile for hosts that start. Incarnations and phases
+    /// don't count: hosts learn them by gossip.
     fn is_like(&self, other: &Self) -> bool {
         let lasting = |upstream: &view::Upstream| {
             let (service, class) = (upstream.service.clone(), upstream.class.clone());
@@ -58,48 +58,49 @@
     }
 }
 
-/// A host as the directory names it.
+/// An entry of the directory.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Listed {
     /// The host.
     pub host: host::HostId,
-    /// What it said of itself; `None` where that can't be read or it said nothing.
+    /// The profile it registered; `None` when there is none or it can't be decoded.
     pub profile: Option<Profile>,
 }
 
-/// A place that names hosts of the mesh to those that start.
+/// A list of the hosts of the mesh for hosts that start.
 ///
-/// What it says need not be current: a host that is gone is found out by asking it.
+/// It need not be current: a listed host that is gone does not answer and is then found to be dead.
 pub trait Directory: Clone + Send + 'static {
-    /// Why the directory did not answer.
+    /// Error of a failed request.
     type Error: error::Error + Send + Sync + 'static;
 
-    /// Whether other hosts may be listed at all; a host waits for its first look when they may.
+    /// Whether the list is shared with other hosts, so that a host waits for the first list before
+    /// it concludes that it is alone.
     fn is_shared(&self) -> bool;
 
-    /// Lists `host` with its `profile`.
+    /// Adds `host` with its `profile` to the list, or replaces its profile.
     fn register(
         &self,
         host: host::HostId,
         profile: &Profile,
     ) -> impl future::Future<Output = Result<(), Self::Error>>;
 
-    /// The hosts that are listed.
+    /// Returns the list.
     fn hosts(&self) -> impl future::Future<Output = Result<Vec<Listed>, Self::Error>>;
 
-    /// Strikes `host` off.
+    /// Removes `host` from the list.
     fn deregister(
         &self,
         host: host::HostId,
     ) -> impl future::Future<Output = Result<(), Self::Error>>;
 }
 
-/// The directory of a node whose settings name the hosts to join.
+/// The fixed list of a node whose settings name the hosts to join.
 #[derive(Clone, Debug)]
 pub struct Fixed(Vec<host::HostId>);
 
 impl Fixed {
-    /// The hosts with these base addresses.
+    /// The list of the hosts with these base addresses.
     pub fn new(addresses: &[net::SocketAddr]) -> Self {
         Self(addresses.iter().copied().map(host::HostId::new).collect())
     }
--- a/src/member/directory/search.rs
+++ b/src/member/directory/search.rs
@@ -1,4 +1,4 @@
-//! How a host lists itself in the directory and looks for others there.
+//! Registers a host in the directory and looks up the other hosts there.
 
 use std::future;
 use std::sync::Arc;
@@ -18,44 +18,45 @@
 #[cfg(test)]
 mod tests;
 
-/// Hosts that were found and have not been taken up yet.
+/// Lists that were fetched and not processed yet.
 const CHANNEL_CAPACITY: usize = 4;
 
-/// How often the wait after a failure doubles. With 200 ms at first it grows to 1.6 s: a host is
-/// listed within two seconds of the directory's return, and asks it five times in place of forty
-/// in eight seconds without it.
+/// How often the delay after a failure doubles. From 200 ms it grows to 1.6 s: a host is registered
+/// within two seconds of the directory's return, and sends five requests in place of forty during
+/// an outage of eight seconds.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// Longest a leaving host may take to strike itself off.
+/// Longest time a leaving host may take to deregister.
 const DEREGISTER_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 
-/// Longest that a host waits for its upstream before it lists itself without one, and once more when
-/// that comes. In a mesh that starts for the first time upstreams hold from the first configuration
-/// on, some three seconds after the hosts start.
+/// Longest time a host waits for its upstream before it registers without one, and a second time
+/// once the upstream is there. In a mesh that starts for the first time upstreams announce
+/// themselves after the first configuration, some three seconds after the hosts start.
 const UPSTREAM_TIMEOUT: time::Duration = time::Duration::from_secs(4);
 
-/// Time from listing itself to the look after it: what hosts that start beside this one need to list
-/// themselves, whose upstreams announce themselves within half a second of each other.
+/// Time between the registration of a host and its next look-up. Hosts that start at the same time
+/// register meanwhile: their upstreams announce themselves within half a second of each other.
 const SECOND_LOOK_DELAY: time::Duration = time::Duration::from_millis(500);
 
-/// Time over which the hosts of a mesh list themselves again after the log came back from an older copy.
+/// Time over which the hosts of a mesh register again, each at its own point, after the log was
+/// restored from an older copy.
 const RELIST_WINDOW: time::Duration = time::Duration::from_secs(2);
 
-/// Tells the order in which hosts do so from other orders of theirs.
+/// Input of [`host::HostId::weight`] that separates this order of hosts from other orders.
 const PURPOSE: u64 = 0x6c69_7374;
 
-/// What a host knows of itself.
+/// This host, as far as its registration needs it.
 #[derive(Clone, Debug)]
 pub(in crate::member) struct Own {
     /// This host.
     pub host: host::HostId,
-    /// Number of this life of its process.
+    /// Incarnation of its process.
     pub incarnation: u64,
-    /// Where it stands.
+    /// Its region and availability zone.
     pub locality: view::Locality,
     /// The upstream beside it.
     pub local: watch::Receiver<Option<Arc<node::Local>>>,
-    /// Configuration that it runs, which tells the epoch of the log.
+    /// Configuration that it runs, whose version contains the epoch of the log.
     pub applied: watch::Receiver<Arc<mesh::Applied>>,
 }
 
@@ -69,14 +70,15 @@
         }
     }
 
-    /// Waits until the upstream has announced itself, for a while at most.
+    /// Waits until the upstream has announced itself, at most for [`UPSTREAM_TIMEOUT`].
     async fn wait_announced(&mut self) {
         let known = self.local.wait_for(Option::is_some);
-        // Without one the host lists itself all the same.
+        // Without an upstream the host registers all the same.
         let _ = tokio::time::timeout(UPSTREAM_TIMEOUT, known).await;
     }
 
-    /// Waits for an epoch of the log after `known`, and then for this host's turn in it; gives the epoch.
+    /// Waits until the log is in a later epoch than `known`, because it was restored from a copy,
+    /// and then for this host's part of [`RELIST_WINDOW`]. Returns the epoch.
     async fn wait_restored(
         applied: &mut watch::Receiver<Arc<mesh::Applied>>,
         host: host::HostId,
@@ -92,8 +94,8 @@
         epoch
     }
 
-    /// Waits until there is an upstream that `listed` does not tell of. One that is leaving, or gone,
-    /// says nothing new: its host may follow it, and then strikes itself off.
+    /// Waits until there is an upstream that differs from the one in `listed`. An upstream that
+    /// drains or is gone does not count: its host may leave as ok and then deregisters.
     async fn wait_changed(&mut self, listed: Option<&directory::Profile>) {
         loop {
             // A closed channel means that the process ends.
@@ -110,7 +112,7 @@
     }
 }
 
-/// Keeps a host listed and looks for others; ends when dropped.
+/// Keeps a host registered and looks up others; its task ends when it is dropped.
 #[derive(Debug)]
 pub(in crate::member) struct Search {
     found: mpsc::Receiver<Vec<directory::Listed>>,
@@ -124,27 +126,28 @@
 }
 
 impl Search {
-    /// Lists the host `own` in `directory` and begins to look.
+    /// Starts the task that registers the host `own` in `directory` and looks up others.
     pub(in crate::member) fn start<D: directory::Directory>(
         directory: D,
         own: Own,
         settings: &configs::member::Member,
     ) -> Self {
         let (sender, found) = mpsc::channel(CHANNEL_CAPACITY);
-        let pace = Intervals {
+        let intervals = Intervals {
             refresh: time::Duration::from_millis(settings.seek_ms),
             retry: time::Duration::from_millis(settings.join_ms),
         };
         let fresh = settings.fresh;
         let task = task::spawn_local(async move {
             if directory.is_shared() {
-                Seeker { directory, own, listed: None, found: sender }.run(pace, fresh).await;
+                Task { directory, own, listed: None, found: sender }.run(intervals, fresh).await;
             }
         });
         Self { found, task }
     }
 
-    /// The hosts of the next look. Never ends once there is nothing left to look for.
+    /// Waits for the next list of hosts. Never returns after the task has ended, as it does at once
+    /// for a directory that is not shared.
     pub(in crate::member) async fn next(&mut self) -> Vec<directory::Listed> {
         match self.found.recv().await {
             Some(hosts) => hosts,
@@ -153,38 +156,39 @@
     }
 }
 
-/// How often the directory is asked.
+/// Time between requests to the directory.
 #[derive(Clone, Copy)]
 struct Intervals {
-    /// Time between two looks.
+    /// Time between two look-ups.
     refresh: time::Duration,
-    /// Time before a failed request is tried again.
+    /// Delay after the first failed request.
     retry: time::Duration,
 }
 
 impl Intervals {
-    /// Wait after `failures` rounds in a row that did not succeed.
+    /// Delay after `failures` failed rounds in a row.
     fn wait(self, failures: u32) -> time::Duration {
         match failures.checked_sub(1) {
             None => self.refresh,
-            Some(before) => (self.retry * (1 << before.min(MAX_DOUBLINGS))).min(self.refresh),
+            Some(doublings) => (self.retry * (1 << doublings.min(MAX_DOUBLINGS))).min(self.refresh),
         }
     }
 }
 
-/// The search of one host.
-struct Seeker<D> {
+/// The task of one host.
+struct Task<D> {
     directory: D,
     own: Own,
-    /// What the directory is known to hold of this host.
+    /// The profile of this host that the directory is known to have; `None` when it has none.
     listed: Option<directory::Profile>,
     found: mpsc::Sender<Vec<directory::Listed>>,
 }
 
-impl<D: directory::Directory> Seeker<D> {
-    /// Looks at once and then now and then. In a mesh that starts for the first time nobody is listed
-    /// yet, so that a host lists itself and gives the others time to do so.
-    async fn run(mut self, pace: Intervals, fresh: bool) {
+impl<D: directory::Directory> Task<D> {
+    /// Looks up the hosts at once and then periodically. In a mesh that starts for the first time
+    /// (`fresh`) nobody is listed yet, so that a host first registers and gives the others time to
+    /// do the same.
+    async fn run(mut self, intervals: Intervals, fresh: bool) {
         if fresh {
             self.own.wait_announced().await;
             self.register().await;
@@ -192,56 +196,58 @@
         }
         let (host, mut applied) = (self.own.host, self.own.applied.clone());
         let mut epoch = applied.borrow().version_id.version.epoch();
-        let mut relists = false;
+        let mut registers_again = false;
         let mut failures = 0;
         let mut due = tokio::time::Instant::now();
         loop {
-            let mut well = true;
+            let mut ok = true;
             if due <= tokio::time::Instant::now() {
-                well = self.look_up().await;
+                ok = self.look_up().await;
                 if self.found.is_closed() {
                     return;
                 }
             }
-            let stranger = self.listed.is_none() && !relists;
-            relists = false;
-            if stranger {
+            let unlisted = self.listed.is_none() && !registers_again;
+            registers_again = false;
+            if unlisted {
                 self.own.wait_announced().await;
             }
-            well &= self.register().await;
-            failures = if well { 0 } else { failures + 1 };
-            // Two strangers that look before either is listed find each other with a second look.
-            let wait = if stranger && well { SECOND_LOOK_DELAY } else { pace.wait(failures) };
+            ok &= self.register().await;
+            failures = if ok { 0 } else { failures + 1 };
+            // Two hosts that look up the list before either is registered find each other by a
+            // second look-up.
+            let wait = if unlisted && ok { SECOND_LOOK_DELAY } else { intervals.wait(failures) };
             due = tokio::time::Instant::now() + wait;
             tokio::select! {
                 () = tokio::time::sleep_until(due) => {}
                 () = self.own.wait_changed(self.listed.as_ref()) => {}
                 later = Own::wait_restored(&mut applied, host, epoch) => {
                     epoch = later;
-                    relists = self.listed.take().is_some();
+                    registers_again = self.listed.take().is_some();
                 }
             }
         }
     }
 
-    /// Asks who is there; `false` when there is no answer.
+    /// Looks up the hosts and passes the list on; `false` when the request failed.
     async fn look_up(&mut self) -> bool {
         let hosts = match self.directory.hosts().await {
             Ok(hosts) => hosts,
             Err(error) => {
-                log::warn!(error:% = error; "could not look for other hosts");
+                log::warn!(error:% = error; "can't look up hosts in the directory");
                 return false;
             }
         };
         let own = hosts.iter().find(|listed| listed.host == self.own.host);
         self.listed = own.and_then(|listed| listed.profile.clone());
-        log::info!(hosts = hosts.len(), listed = own.is_some(); "looked for other hosts");
+        log::info!(hosts = hosts.len(), listed = own.is_some(); "looked up hosts in the directory");
         // A closed channel means that the duty has ended.
         let _ = self.found.send(hosts).await;
         true
     }
 
-    /// Lists this host unless the directory tells the same of it already; `false` when that failed.
+    /// Registers this host unless the directory has the same profile already; `false` when the
+    /// request failed.
     async fn register(&mut self) -> bool {
         let profile = self.own.profile();
         if self.listed.as_ref().is_some_and(|listed| listed.is_like(&profile)) {
@@ -253,21 +259,23 @@
                 true
             }
             Err(error) => {
-                log::warn!(error:% = error; "could not list this host");
+                log::warn!(error:% = error; "can't register this host in the directory");
                 false
             }
         }
     }
 }
 
-/// Strikes `host` off, as far as that succeeds in a short time.
+/// Deregisters `host`, giving up after [`DEREGISTER_TIMEOUT`].
 pub(in crate::member) async fn deregister<D: directory::Directory>(
     directory: &D,
     host: host::HostId,
 ) {
     match tokio::time::timeout(DEREGISTER_TIMEOUT, directory.deregister(host)).await {
         Ok(Ok(())) => {}
-        Ok(Err(error)) => log::warn!(error:% = error; "this host stays listed"),
-        Err(_) => log::warn!("this host stays listed: the directory did not answer in time"),
+        Ok(Err(error)) => {
+            log::warn!(error:% = error; "can't deregister this host from the directory")
+        }
+        Err(_) => log::warn!("can't deregister this host: the directory did not answer in time"),
     }
 }
--- a/src/member/directory/search/tests.rs
+++ b/src/member/directory/search/tests.rs
@@ -17,42 +17,42 @@
 use crate::version;
 use crate::view;
 
-const PACE: search::Intervals = search::Intervals {
+const INTERVALS: search::Intervals = search::Intervals {
     refresh: time::Duration::from_secs(10),
     retry: time::Duration::from_millis(200),
 };
 
 #[rstest]
-#[case::looked(0, 10_000)]
+#[case::no_failure(0, 10_000)]
 #[case::once(1, 200)]
 #[case::twice(2, 400)]
 #[case::four_times(4, 1600)]
 #[case::for_long(40, 1600)]
-fn a_directory_that_fails_is_asked_less_and_less(#[case] failures: u32, #[case] millis: u64) {
-    assert_eq!(PACE.wait(failures), time::Duration::from_millis(millis));
+fn a_directory_that_fails_is_asked_less_often(#[case] failures: u32, #[case] millis: u64) {
+    assert_eq!(INTERVALS.wait(failures), time::Duration::from_millis(millis));
 }
 
-/// What a directory holds, and the requests it has had.
+/// The contents of a directory, and the requests it has received.
 #[derive(Debug, Default)]
-struct Book {
+struct Contents {
     hosts: collections::BTreeMap<host::HostId, directory::Profile>,
-    looks: u32,
-    enters: u32,
+    lookups: u32,
+    registrations: u32,
 }
 
 /// A directory that all hosts of a test share.
 #[derive(Clone, Debug, Default)]
-struct Shared(Arc<sync::Mutex<Book>>);
+struct Shared(Arc<sync::Mutex<Contents>>);
 
 impl Shared {
-    fn book(&self) -> sync::MutexGuard<'_, Book> {
+    fn contents(&self) -> sync::MutexGuard<'_, Contents> {
         self.0.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Looks and entries so far.
+    /// Look-ups and registrations so far.
     fn counts(&self) -> (u32, u32) {
-        let book = self.book();
-        (book.looks, book.enters)
+        let contents = self.contents();
+        (contents.lookups, contents.registrations)
     }
 }
 
@@ -68,26 +68,26 @@
         host: host::HostId,
         profile: &directory::Profile,
     ) -> Result<(), Self::Error> {
-        pass(4).await;
-        let mut book = self.book();
-        book.enters += 1;
-        book.hosts.insert(host, profile.clone());
+        sleep(4).await;
+        let mut contents = self.contents();
+        contents.registrations += 1;
+        contents.hosts.insert(host, profile.clone());
         Ok(())
     }
 
     async fn hosts(&self) -> Result<Vec<directory::Listed>, Self::Error> {
-        pass(4).await;
-        let mut book = self.book();
-        book.looks += 1;
+        sleep(4).await;
+        let mut contents = self.contents();
+        contents.lookups += 1;
         let listed = |(&host, profile): (&host::HostId, &directory::Profile)| directory::Listed {
             host,
             profile: Some(profile.clone()),
         };
-        Ok(book.hosts.iter().map(listed).collect())
+        Ok(contents.hosts.iter().map(listed).collect())
     }
 
     async fn deregister(&self, host: host::HostId) -> Result<(), Self::Error> {
-        self.book().hosts.remove(&host);
+        self.contents().hosts.remove(&host);
         Ok(())
     }
 }
@@ -135,44 +135,44 @@
     Host { search: search::Search::start(shared.clone(), own, &settings), local, applied }
 }
 
-/// Runs `test` in virtual time on a thread of its own.
-async fn play<F: Future<Output = ()>>(test: F) {
+/// Runs `test`, which may spawn local tasks.
+async fn run_local<F: Future<Output = ()>>(test: F) {
     task::LocalSet::new().run_until(test).await;
 }
 
-async fn pass(millis: u64) {
+async fn sleep(millis: u64) {
     tokio::time::sleep(time::Duration::from_millis(millis)).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_host_that_is_listed_with_the_same_looks_and_writes_nothing() {
-    play(async {
+async fn a_host_that_is_listed_with_the_same_profile_does_not_register_again() {
+    run_local(async {
         let shared = Shared::default();
         drop({
             let host = start(&shared, 1, true, true);
-            pass(100).await;
+            sleep(100).await;
             host
         });
-        let (looks, enters) = shared.counts();
+        let (lookups, registrations) = shared.counts();
         let mut host = start(&shared, 1, false, true);
         let listed = host.search.next().await;
-        pass(5000).await;
+        sleep(5000).await;
         assert_eq!(listed.len(), 1);
-        assert_eq!(shared.counts(), (looks + 1, enters));
+        assert_eq!(shared.counts(), (lookups + 1, registrations));
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_mesh_that_starts_for_the_first_time_is_whole_after_one_look_of_each() {
-    play(async {
+async fn a_mesh_that_starts_for_the_first_time_is_complete_after_one_lookup_of_each() {
+    run_local(async {
         let shared = Shared::default();
         let mut hosts: Vec<_> = (0..30).map(|last| start(&shared, last, true, false)).collect();
-        pass(300).await;
+        sleep(300).await;
         for host in &hosts {
             host.local.send_replace(upstream(7, view::Phase::Warming));
         }
-        pass(1000).await;
+        sleep(1000).await;
         for host in &mut hosts {
             let listed = host.search.next().await;
             let whole = |l: &directory::Listed| {
@@ -186,8 +186,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn two_strangers_that_look_before_either_is_listed_find_each_other() {
-    play(async {
+async fn two_hosts_that_look_up_before_either_is_registered_find_each_other() {
+    run_local(async {
         let shared = Shared::default();
         let mut hosts = [start(&shared, 1, false, true), start(&shared, 2, false, true)];
         for host in &mut hosts {
@@ -204,58 +204,58 @@
 #[case::one_that_leaves(upstream(7, view::Phase::Draining), 0)]
 #[case::none(None, 0)]
 #[tokio::test(start_paused = true)]
-async fn a_host_lists_itself_anew_for_what_lasts(
+async fn a_host_registers_again_when_its_upstream_differs(
     #[case] local: Option<Arc<node::Local>>,
-    #[case] enters: u32,
+    #[case] registrations: u32,
 ) {
-    play(async {
+    run_local(async {
         let shared = Shared::default();
         let host = start(&shared, 1, false, true);
-        pass(2000).await;
-        let before = shared.book().enters;
+        sleep(2000).await;
+        let before = shared.contents().registrations;
         host.local.send_replace(local);
-        pass(100).await;
-        assert_eq!(shared.book().enters - before, enters);
+        sleep(100).await;
+        assert_eq!(shared.contents().registrations - before, registrations);
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_host_without_an_upstream_is_listed_all_the_same() {
-    play(async {
+async fn a_host_without_an_upstream_registers_all_the_same() {
+    run_local(async {
         let shared = Shared::default();
         let _host = start(&shared, 1, false, false);
-        pass(5000).await;
-        assert!(shared.book().hosts.contains_key(&id(1)));
+        sleep(5000).await;
+        assert!(shared.contents().hosts.contains_key(&id(1)));
     })
     .await;
 }
 
-/// The host runs a configuration read in `epoch`.
-fn run(host: &Host, epoch: u64) {
+/// Makes `host` run a configuration that was read in `epoch`.
+fn apply_epoch(host: &Host, epoch: u64) {
     let version = version::Version::settled(3, crate::logs::ordinal(epoch, 4));
-    let stamp = version::VersionId { version, ..Default::default() };
-    host.applied.send_replace(Arc::new(mesh::Applied { version_id: stamp, ..Default::default() }));
+    let version_id = version::VersionId { version, ..Default::default() };
+    host.applied.send_replace(Arc::new(mesh::Applied { version_id, ..Default::default() }));
 }
 
-/// Guards against hosts that nobody finds who starts after the directory has lost them.
+/// Guards against hosts that the directory has lost and that hosts which start later never find.
 #[tokio::test(start_paused = true)]
-async fn hosts_that_the_directory_has_lost_list_themselves_again() {
-    play(async {
+async fn hosts_that_the_directory_has_lost_register_again() {
+    run_local(async {
         let shared = Shared::default();
         let hosts: Vec<Host> = (1..=6).map(|last| start(&shared, last, true, true)).collect();
-        pass(1_000).await;
-        assert_eq!(shared.book().hosts.len(), 6);
-        let (looks, enters) = shared.counts();
+        sleep(1_000).await;
+        assert_eq!(shared.contents().hosts.len(), 6);
+        let (lookups, registrations) = shared.counts();
         for epoch in 1..=2 {
-            shared.book().hosts.retain(|host, _| *host == id(1));
-            hosts.iter().for_each(|host| run(host, epoch));
-            pass(2_100).await;
-            assert_eq!(shared.book().hosts.len(), 6, "all are listed");
-            hosts.iter().for_each(|host| run(host, epoch));
-            pass(2_100).await;
+            shared.contents().hosts.retain(|host, _| *host == id(1));
+            hosts.iter().for_each(|host| apply_epoch(host, epoch));
+            sleep(2_100).await;
+            assert_eq!(shared.contents().hosts.len(), 6, "all are listed");
+            hosts.iter().for_each(|host| apply_epoch(host, epoch));
+            sleep(2_100).await;
         }
-        assert_eq!(shared.counts(), (looks, enters + 12), "one call of each an epoch");
+        assert_eq!(shared.counts(), (lookups, registrations + 12), "one call of each an epoch");
     })
     .await;
 }
--- a/src/member/gossip.rs
+++ b/src/member/gossip.rs
@@ -1,4 +1,4 @@
-//! How news arrive and are passed on.
+//! Gossip: merging the updates that arrive, and sending them on.
 
 use std::time;
 
@@ -13,47 +13,50 @@
 use crate::member::wire;
 use crate::view;
 
-/// Hosts that get one wave of urgent news.
-const WAVE: usize = 3;
+/// Hosts that receive one wave of urgent updates.
+const WAVE_HOSTS: usize = 3;
 
 /// Time between two waves.
 const WAVE_GAP: time::Duration = time::Duration::from_millis(100);
 
-/// Pieces of news above which each is sent few times only: the hosts that then miss one get it by
-/// repair, and a start of all hosts at once does not keep the queues full for minutes.
-const BACKLOG: usize = 64;
+/// Queued updates above which each is sent only [`BACKLOG_SENDS`] times. Hosts that then miss one
+/// get it by repair, and a start of all hosts at once does not keep the queues full for minutes.
+const MAX_BACKLOG: usize = 64;
 const BACKLOG_SENDS: u32 = 3;
 
-/// Extra datagrams for urgent news.
+/// Waves of extra datagrams for urgent updates.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Burst {
-    left: u32,
+    /// Datagrams still to be sent.
+    remaining: u32,
+    /// When the next wave is due; `None` when there is none.
     next: Option<clock::Instant>,
 }
 
-/// By which way news came.
+/// How an update reached this host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Source {
-    /// Passed on by a host that has them new.
+    /// By gossip.
     Gossip,
-    /// Found missing by a comparison of digests.
+    /// By a comparison of digests that showed it was missing here.
     Repair,
-    /// Taken over while joining.
+    /// In a page of the table while joining.
     Page,
 }
 
 impl Burst {
-    /// When the next wave is due.
+    /// When the next wave is due; `None` when there is none.
     pub fn wake(&self) -> Option<clock::Instant> {
         self.next
     }
 }
 
-/// How pressing a change from one announcement to the next is.
+/// Priority of the update from the announcement `old` to `new`. It is urgent when calls must no
+/// longer go to the upstream: it stopped taking calls, or its version was rejected.
 pub fn priority(old: Option<&view::Upstream>, new: Option<&view::Upstream>) -> updates::Priority {
-    let takes = |u: Option<&view::Upstream>| u.is_some_and(|u| u.phase != view::Phase::Draining);
-    let bad = |u: Option<&view::Upstream>| u.is_some_and(|u| u.trial.rejected);
-    let urgent = (takes(old) && !takes(new)) || (bad(new) && !bad(old));
+    let serves = |u: Option<&view::Upstream>| u.is_some_and(|u| u.phase != view::Phase::Draining);
+    let rejected = |u: Option<&view::Upstream>| u.is_some_and(|u| u.trial.rejected);
+    let urgent = (serves(old) && !serves(new)) || (rejected(new) && !rejected(old));
     if urgent { updates::Priority::Urgent } else { updates::Priority::Plain }
 }
 
@@ -64,12 +67,12 @@
             return;
         }
         self.record_contact(datagram.from);
-        let way = match datagram.body {
+        let source = match datagram.body {
             wire::Body::Bucket { .. } => Source::Repair,
             wire::Body::Page { .. } => Source::Page,
             _ => Source::Gossip,
         };
-        let stale = self.merge_items(datagram, way);
+        let stale = self.merge_items(datagram, source);
         self.dispatch(datagram, stale);
     }
 
@@ -100,23 +103,23 @@
         }
     }
 
-    /// Merges the items of a datagram; gives the hosts whose record was older than a death
-    /// known here.
-    fn merge_items(&mut self, datagram: &wire::Datagram, way: Source) -> Vec<host::HostId> {
+    /// Merges the items of a datagram. Returns the hosts whose record was refused because this host
+    /// knows that they died or left in that incarnation.
+    fn merge_items(&mut self, datagram: &wire::Datagram, source: Source) -> Vec<host::HostId> {
         let mut stale = Vec::new();
         for item in &datagram.items {
             match item {
                 wire::Item::Claim { host, incarnation, claim } => {
-                    self.merge_claim(*host, *incarnation, *claim, way);
+                    self.merge_claim(*host, *incarnation, *claim, source);
                 }
                 wire::Item::Unreachable { zone } => self.check_reported_zone(&datagram.name(*zone)),
                 wire::Item::Record(record) => {
-                    if !self.merge_record(datagram, record, way) {
+                    if !self.merge_record(datagram, record, source) {
                         stale.push(record.host);
                     }
                 }
-                wire::Item::Crash(end) => self.merge_crash(end),
-                wire::Item::Quarantine(ban) => self.merge_entry(ban, way),
+                wire::Item::Crash(crash) => self.merge_crash(crash),
+                wire::Item::Quarantine(entry) => self.merge_entry(entry, source),
                 wire::Item::Quarantines { digest, reply } => {
                     self.compare_quarantine(datagram.from, *digest, *reply);
                 }
@@ -125,30 +128,36 @@
         stale
     }
 
-    fn merge_claim(&mut self, id: host::HostId, incarnation: u64, claim: wire::Claim, way: Source) {
+    fn merge_claim(
+        &mut self,
+        id: host::HostId,
+        incarnation: u64,
+        claim: wire::Claim,
+        source: Source,
+    ) {
         if id == self.id {
             self.refute(incarnation, claim);
             return;
         }
         let zone = self.table.get(id).map(|e| e.record.locality.zone.clone());
-        let dark = zone.is_some_and(|z| self.zones.is_unreachable(&z));
-        if dark && claim == wire::Claim::Suspect {
+        let zone_lost = zone.is_some_and(|z| self.zones.is_unreachable(&z));
+        if zone_lost && claim == wire::Claim::Suspect {
             return;
         }
         let change = self.table.claim(id, incarnation, claim, self.now);
-        self.apply_change(id, change, updates::Priority::Plain, way);
+        self.apply_change(id, change, updates::Priority::Plain, source);
     }
 
-    /// Merges a record; `false` when the host is known to be gone in that incarnation.
+    /// Merges a record; `false` when the host is known to have died or left in that incarnation.
     fn merge_record(
         &mut self,
         datagram: &wire::Datagram,
         found: &wire::Record,
-        way: Source,
+        source: Source,
     ) -> bool {
-        let account = (found.incarnation, found.serial);
+        let theirs = (found.incarnation, found.serial);
         if found.host == self.id {
-            if account > self.own_version() {
+            if theirs > self.record_version() {
                 self.raise_incarnation(found.incarnation);
             }
             return true;
@@ -159,18 +168,19 @@
         }
         let record = read(datagram, found);
         let old = known.and_then(|e| e.record.upstream.clone());
-        let rank = priority(old.as_deref(), record.upstream.as_deref());
+        let priority = priority(old.as_deref(), record.upstream.as_deref());
         let change = self.table.merge(found.host, record, self.now);
-        self.apply_change(found.host, change, rank, way);
+        self.apply_change(found.host, change, priority, source);
         true
     }
 
-    /// Others hold a claim against this host.
+    /// Refutes a claim of others about this host by a higher incarnation. If they declared it dead,
+    /// its standing has to be confirmed as well.
     fn refute(&mut self, incarnation: u64, claim: wire::Claim) {
-        if incarnation < self.own_version().0 {
+        if incarnation < self.record_version().0 {
             return;
         }
-        log::warn!(claim:?, incarnation; "claimed by others, taking a new incarnation");
+        log::warn!(claim:?, incarnation; "refutes a claim of others by a new incarnation");
         self.raise_incarnation(incarnation);
         if claim != wire::Claim::Suspect {
             self.change_standing(standing::Event::Declared { proof: self.sequence + 1 });
@@ -178,13 +188,13 @@
         }
     }
 
-    /// Does what a change of the table asks for.
+    /// Updates the timers, the peers and the queue after a change of the table.
     pub(super) fn apply_change(
         &mut self,
         id: host::HostId,
         change: table::Change,
-        rank: updates::Priority,
-        way: Source,
+        priority: updates::Priority,
+        source: Source,
     ) {
         if change == table::Change::Unchanged {
             return;
@@ -192,15 +202,15 @@
         self.changed = self.now;
         self.dirty = true;
         match change {
-            table::Change::Claimed(claim) => self.apply_claim(id, claim, way),
+            table::Change::Claimed(claim) => self.apply_claim(id, claim, source),
             table::Change::Renewed(Some(_)) => {
-                self.apply_record(id, updates::Priority::Urgent, way)
+                self.apply_record(id, updates::Priority::Urgent, source)
             }
-            _ => self.apply_record(id, rank, way),
+            _ => self.apply_record(id, priority, source),
         }
     }
 
-    fn apply_record(&mut self, id: host::HostId, rank: updates::Priority, way: Source) {
+    fn apply_record(&mut self, id: host::HostId, priority: updates::Priority, source: Source) {
         let present = self.table.get(id).is_some_and(table::Entry::is_present);
         if present && !self.peers.contains(&id) {
             self.peers.push(id);
@@ -209,8 +219,8 @@
             self.detect.clear(id);
             self.updates.remove(&updates::Topic::Claim(id));
         }
-        match way {
-            Source::Gossip => self.queue_update(updates::Topic::Record(id), rank, 0),
+        match source {
+            Source::Gossip => self.queue_update(updates::Topic::Record(id), priority, 0),
             Source::Repair => {
                 let half = self.limits().plain / 2;
                 self.queue_update(updates::Topic::Record(id), updates::Priority::Plain, half);
@@ -219,7 +229,7 @@
         }
     }
 
-    fn apply_claim(&mut self, id: host::HostId, claim: wire::Claim, way: Source) {
+    fn apply_claim(&mut self, id: host::HostId, claim: wire::Claim, source: Source) {
         let topic = updates::Topic::Claim(id);
         if claim == wire::Claim::Suspect {
             self.detect.suspect(id, self.now + self.suspicion_timeout());
@@ -229,75 +239,77 @@
         self.detect.clear(id);
         self.peers.retain(|&p| p != id);
         self.updates.remove(&updates::Topic::Record(id));
-        let rank = if way == Source::Gossip {
+        let priority = if source == Source::Gossip {
             updates::Priority::Urgent
         } else {
             updates::Priority::Plain
         };
-        self.queue_update(topic, rank, 0);
+        self.queue_update(topic, priority, 0);
     }
 
-    /// Queues news that were sent `sent` times already.
+    /// Queues an update that was sent `sent` times already, and starts a burst if it is urgent.
     pub(super) fn queue_update(
         &mut self,
         topic: updates::Topic,
-        rank: updates::Priority,
+        priority: updates::Priority,
         sent: u32,
     ) {
-        self.updates.add(topic, rank, sent);
-        if rank == updates::Priority::Urgent {
-            self.burst.left = self.fanout();
+        self.updates.add(topic, priority, sent);
+        if priority == updates::Priority::Urgent {
+            self.burst.remaining = self.fanout();
             self.burst.next = Some(self.burst.next.unwrap_or(self.now));
         }
     }
 
-    /// Sends the wave of urgent news that is due.
+    /// Sends a wave of urgent updates if one is due.
     pub(super) fn run_burst(&mut self) {
         if self.burst.next.is_none_or(|next| next > self.now) {
             return;
         }
-        for to in self.sample(WAVE.min(self.burst.left as usize), self.id) {
+        for to in self.sample(WAVE_HOSTS.min(self.burst.remaining as usize), self.id) {
             let mut packer = wire::Packer::new(self.id, wire::Body::Gossip);
             self.pack(&mut packer, updates::Priority::Urgent);
             if !packer.is_empty() {
                 self.out.push(member::Action::Send { to, datagram: packer.finish() });
             }
         }
-        self.burst.left = self.burst.left.saturating_sub(WAVE as u32);
-        let more = self.burst.left > 0 && self.updates.has_urgent();
+        self.burst.remaining = self.burst.remaining.saturating_sub(WAVE_HOSTS as u32);
+        let more = self.burst.remaining > 0 && self.updates.has_urgent();
         let gap = self.jittered(WAVE_GAP);
         self.burst.next = more.then(|| self.now + gap);
     }
 
-    /// Sends `body` with as much news as fits.
+    /// Sends `body` with as many updates as fit into the datagram.
     pub(super) fn send(&mut self, to: host::HostId, body: wire::Body) {
         let mut packer = wire::Packer::new(self.id, body);
         if let Some((entry, claim)) = self.table.get(to).and_then(|e| Some((e, e.claim?))) {
-            // A host must learn at once what is held against it.
+            // A host must learn at once of a claim about itself, so that it can refute it.
             packer.claim(to, entry.record.incarnation, claim);
         }
         let probe = matches!(packer.body(), wire::Body::Ack { .. } | wire::Body::Ping { .. });
-        if probe && let Some(bans) = self.quarantine.digest_item() {
-            packer.item(bans);
+        if probe && let Some(digest) = self.quarantine.digest_item() {
+            packer.item(digest);
         }
         self.pack(&mut packer, updates::Priority::Plain);
         self.out.push(member::Action::Send { to, datagram: packer.finish() });
     }
 
-    fn pack(&mut self, packer: &mut wire::Packer, rank: updates::Priority) {
+    fn pack(&mut self, packer: &mut wire::Packer, priority: updates::Priority) {
         let limits = self.limits();
-        let (table, zones, ends) = (&self.table, &self.zones, &self.quarantine);
+        let (table, zones, quarantine) = (&self.table, &self.zones, &self.quarantine);
         let now = self.now;
-        self.updates.offer(rank, limits, |topic| {
+        self.updates.offer(priority, limits, |topic| {
             let fitted = match topic {
                 updates::Topic::Claim(id) => put_claim(packer, table, *id),
                 updates::Topic::Unreachable(zone) => {
-                    zones.is_unreachable(zone).then(|| packer.dark(zone))
+                    zones.is_unreachable(zone).then(|| packer.unreachable(zone))
                 }
                 updates::Topic::Record(id) => put_record(packer, table, *id),
-                updates::Topic::Crash(id) => ends.crash(*id, now).map(|end| packer.item(end)),
-                updates::Topic::Quarantine(print) => {
-                    ends.entry(*print, now).map(|ban| packer.item(ban))
+                updates::Topic::Crash(id) => {
+                    quarantine.crash(*id, now).map(|item| packer.item(item))
+                }
+                updates::Topic::Quarantine(fingerprint) => {
+                    quarantine.entry(*fingerprint, now).map(|item| packer.item(item))
                 }
             };
             match fitted {
@@ -308,29 +320,29 @@
         });
     }
 
-    /// Times each piece of news is sent from here.
+    /// How often each update is sent from this host: more often in a larger mesh.
     pub(super) fn limits(&self) -> updates::Limits {
         let doublings = usize::BITS - self.table.present().leading_zeros();
-        let most = if self.updates.count() > BACKLOG { BACKLOG_SENDS } else { u32::MAX };
-        let plain = (u32::from(self.settings.retransmit) * doublings.max(1)).min(most);
+        let max = if self.updates.count() > MAX_BACKLOG { BACKLOG_SENDS } else { u32::MAX };
+        let plain = (u32::from(self.settings.retransmit) * doublings.max(1)).min(max);
         updates::Limits { urgent: plain + self.fanout(), plain }
     }
 
-    /// Extra datagrams for urgent news: enough that hardly any host is missed.
+    /// Extra datagrams for an urgent update: enough to reach almost every host.
     pub(super) fn fanout(&self) -> u32 {
         let hosts = self.table.present() as f64;
         hosts.ln().ceil() as u32 + u32::from(self.settings.urgent)
     }
 
-    /// Up to `count` random peers that can be reached, without `but`.
-    pub(super) fn sample(&mut self, count: usize, but: host::HostId) -> Vec<host::HostId> {
+    /// Up to `count` random reachable peers, except `excluded`.
+    pub(super) fn sample(&mut self, count: usize, excluded: host::HostId) -> Vec<host::HostId> {
         let mut chosen: Vec<host::HostId> = Vec::with_capacity(count);
         if self.peers.is_empty() {
             return chosen;
         }
         for _ in 0..count * 4 {
             let id = self.peers[self.rng.random_range(0..self.peers.len())];
-            let wanted = id != but && !chosen.contains(&id) && self.is_reachable(id);
+            let wanted = id != excluded && !chosen.contains(&id) && self.is_reachable(id);
             if wanted && chosen.len() < count {
                 chosen.push(id);
             }
@@ -338,16 +350,16 @@
         chosen
     }
 
-    /// `span` shortened or lengthened by up to a tenth, so that no two hosts keep step.
+    /// `span` changed by up to a tenth at random, so that the timers of hosts don't synchronise.
     pub(super) fn jittered(&mut self, span: time::Duration) -> time::Duration {
         span.mul_f64(self.rng.random_range(0.9..1.1))
     }
 }
 
-/// The record that `found` stands for in its datagram.
+/// Converts a record of `datagram` by resolving its indices into names.
 fn read(datagram: &wire::Datagram, found: &wire::Record) -> table::Record {
     let region = datagram.name(found.region);
-    let place = view::Locality { region, zone: datagram.name(found.zone) };
+    let locality = view::Locality { region, zone: datagram.name(found.zone) };
     let upstream = found.upstream.map(|u| view::Upstream {
         service: datagram.name(u.service),
         class: datagram.name(u.class),
@@ -361,18 +373,18 @@
     table::Record {
         incarnation: found.incarnation,
         serial: found.serial,
-        locality: place.into(),
+        locality: locality.into(),
         upstream: upstream.map(Into::into),
     }
 }
 
-/// Packs what is claimed of `id`; `None` when nothing is.
+/// Packs the claim about `id`; `None` when there is none, `false` when it does not fit.
 fn put_claim(packer: &mut wire::Packer, table: &table::Table, id: host::HostId) -> Option<bool> {
     let entry = table.get(id)?;
     Some(packer.claim(id, entry.record.incarnation, entry.claim?))
 }
 
-/// Packs the record of `id`; `None` when the host is gone.
+/// Packs the record of `id`; `None` when the host is gone, `false` when the record does not fit.
 fn put_record(packer: &mut wire::Packer, table: &table::Table, id: host::HostId) -> Option<bool> {
     let entry = table.get(id).filter(|e| e.is_present())?;
     Some(entry.record.pack(id, packer))
--- a/src/member/join.rs
+++ b/src/member/join.rs
@@ -1,4 +1,5 @@
-//! Taking over the table from another host, page by page, and giving it to others.
+//! Joining the mesh: copying the table of another host page by page, and serving such pages to
+//! others.
 
 use std::net;
 use std::time;
@@ -17,48 +18,50 @@
 use crate::member::updates;
 use crate::member::wire;
 
-/// Time for which a host is taken for what the directory says of it without being heard from. After a
-/// start of all of 295 hosts half of them are heard from within two seconds.
+/// Time after which a host that is known from the directory alone counts as suspect. After a start
+/// of all of 295 hosts at once half of the hosts have made contact within two seconds.
 const CONFIRM_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// Hosts greeted of those that a look has found: one that answers tells of the others.
+/// Unknown hosts of a directory list to which digests are sent: one that answers knows the others.
 const MAX_GREETED: usize = 8;
 
-/// A page that was asked for.
+/// A page request that is in flight.
 #[derive(Clone, Copy, Debug)]
 struct Asked {
     peer: host::HostId,
     deadline: clock::Instant,
 }
 
-/// How far this host has joined, and what it can give to others that join.
+/// Progress of this host's own join, and the rate limit on the pages it serves to others.
 #[derive(Clone, Debug)]
 pub struct Join {
-    /// Configured hosts but this one.
+    /// Hosts to ask for pages: the configured ones and those the directory lists, except this one.
     seeds: Vec<host::HostId>,
-    /// Whether the directory has yet to say who is there.
+    /// Whether the first list of the directory is still outstanding.
     awaits_directory: bool,
     done: bool,
-    /// Whether the table was taken over from a host that had joined.
+    /// Whether the table was copied from a host that had joined itself.
     confirmed: bool,
-    /// When hosts that are known from the directory alone come into doubt.
+    /// When hosts that are known from the directory alone become suspect; `None` without such
+    /// hosts.
     unconfirmed_at: Option<clock::Instant>,
     asked: Option<Asked>,
-    /// Hash from which the table is still missing.
+    /// Lowest hash of the part of the table that is still to be copied.
     next_hash: u32,
+    /// Consecutive attempts that brought no page.
     attempt: u32,
     next_attempt: clock::Instant,
-    /// Host to ask next; a random seed when there is none.
+    /// Host to ask next; `None` for a random seed.
     next_peer: Option<host::HostId>,
-    /// When a host that has joined answered last, or this one was started.
+    /// When a joined host last served a page or any host refused one; at first the start.
     progress: clock::Instant,
-    /// Pages that may be given now.
+    /// Pages that may be served now (token bucket).
     tokens: f64,
     refilled: clock::Instant,
 }
 
 impl Join {
-    /// A host called `id` that has not joined yet and knows `addresses`.
+    /// The state of host `id` before it joins, with the configured `addresses` as seeds.
     pub fn new(id: host::HostId, addresses: &[net::SocketAddr], now: clock::Instant) -> Self {
         let seeds = addresses.iter().copied().map(host::HostId::new).filter(|&h| h != id);
         Self {
@@ -78,34 +81,36 @@
         }
     }
 
-    /// When something is due next.
+    /// When the next step of the join is due; `None` once it is done.
     pub fn wake(&self) -> Option<clock::Instant> {
         let due = self.asked.map_or(self.next_attempt, |a| a.deadline);
         (!self.done).then_some(due)
     }
 
-    /// When hosts that are known from the directory alone come into doubt, if there are any.
+    /// When hosts that are known from the directory alone become suspect; `None` without such
+    /// hosts.
     pub fn unconfirmed_at(&self) -> Option<clock::Instant> {
         self.unconfirmed_at
     }
 
-    /// Whether the table was taken over.
+    /// Whether the join has ended: the table was copied, or nobody was there to copy it from.
     pub fn is_done(&self) -> bool {
         self.done
     }
 
-    /// The configured hosts but this one.
+    /// The hosts to join through, except this one.
     pub fn addresses(&self) -> impl Iterator<Item = host::HostId> {
         self.seeds.iter().copied()
     }
 
-    /// Puts the first attempt off by `wait`.
+    /// Delays the first attempt by `wait`.
     pub fn delay(&mut self, wait: time::Duration) {
         self.next_attempt = self.next_attempt + wait;
     }
 
-    /// Takes a token for one page, of which there are `rate` in a second.
-    fn draw(&mut self, rate: f64, now: clock::Instant) -> bool {
+    /// Takes the token for one page, of which `rate` are granted in a second; `false` when there is
+    /// none.
+    fn take_token(&mut self, rate: f64, now: clock::Instant) -> bool {
         let grown = now.since(self.refilled).as_secs_f64() * rate;
         self.tokens = (self.tokens + grown).min(rate);
         self.refilled = now;
@@ -136,17 +141,19 @@
         }
     }
 
-    /// Makes a host that starts wait for the directory before it believes to be alone.
+    /// Makes a host that starts wait for the first list of the directory before it concludes that
+    /// it is alone.
     pub fn await_directory(&mut self) {
         self.join.awaits_directory = true;
     }
 
-    /// Takes the hosts that the directory lists, with what they say of themselves until they are heard
-    /// from. After a start of all of 295 hosts at once each knows all the others with its first look;
-    /// by pages and news alone it knew 45% of them 1.5 s later, and 73% after 5 s (virtual time).
+    /// Merges the hosts that the directory lists, with the profiles they registered, until they
+    /// make contact themselves. After a start of all of 295 hosts at once each host knows all the
+    /// others from its first list; by pages and gossip alone it knew 45% of them after 1.5 s and
+    /// 73% after 5 s of virtual time.
     pub(super) fn merge_listed(&mut self, hosts: Vec<directory::Listed>) {
         self.join.awaits_directory = false;
-        let mut strangers = Vec::new();
+        let mut unknown = Vec::new();
         for directory::Listed { host, profile } in hosts {
             if host == self.id {
                 self.check_own_profile(profile);
@@ -156,27 +163,28 @@
                 self.join.seeds.push(host);
             }
             if self.table.get(host).is_none() {
-                strangers.push(host);
+                unknown.push(host);
             }
             if let Some(profile) = profile {
                 self.presume(host, profile);
             }
         }
         match self.join.done {
-            true => self.greet(&strangers),
+            true => self.greet(&unknown),
             false => self.run_join(),
         }
     }
 
-    /// A host that starts with a clock behind that of its life before would not be believed.
+    /// Raises the incarnation of a host whose clock is behind that of its former process: with a
+    /// lower incarnation than the registered one its records would be ignored.
     fn check_own_profile(&mut self, profile: Option<directory::Profile>) {
-        let before = profile.map_or(0, |profile| profile.incarnation);
-        if before >= self.own_version().0 {
-            self.raise_incarnation(before);
+        let registered = profile.map_or(0, |profile| profile.incarnation);
+        if registered >= self.record_version().0 {
+            self.raise_incarnation(registered);
         }
     }
 
-    /// Takes `host` for what it said when it was listed; whatever is heard of it goes before that.
+    /// Adds `host` with its registered profile at serial 0, below every record of its own.
     fn presume(&mut self, host: host::HostId, profile: directory::Profile) {
         let record = table::Record {
             incarnation: profile.incarnation,
@@ -189,24 +197,24 @@
         self.join.unconfirmed_at.get_or_insert(self.now + CONFIRM_TIMEOUT);
     }
 
-    /// Whether a host that is known from the directory alone is likely to be gone: the mesh did not
-    /// name it, or it was not heard from for a while. Such a host may still get calls, but nobody
-    /// counts on it for others: a node that came back counted on hosts that had left while the
-    /// directory could not be told, and left the reading of the log to them.
+    /// Whether `entry` is known from the directory alone and the host is likely to be gone: the
+    /// copied table did not contain it, or it made no contact for a while. Such a host may still
+    /// get calls but is not relied on for shared work: a node that restarted relied on hosts that
+    /// had left while they could not deregister, and left the reading of the log to them.
     pub(super) fn is_unconfirmed(&self, entry: &table::Entry) -> bool {
         let late = self.now.since(entry.since) >= CONFIRM_TIMEOUT;
         entry.record.serial == 0 && (self.join.confirmed || late)
     }
 
-    /// Publishes that hosts have come into doubt.
+    /// Marks the view as changed once unconfirmed hosts become suspect.
     pub(super) fn run_unconfirmed(&mut self) {
         self.dirty |= self.join.unconfirmed_at.take_if(|due| *due <= self.now).is_some();
     }
 
-    /// Tells this host to a few that it did not know, so that two parts of a mesh which lost each other
-    /// come together again.
-    fn greet(&mut self, strangers: &[host::HostId]) {
-        let some: Vec<_> = strangers.sample(&mut self.rng, MAX_GREETED).copied().collect();
+    /// Sends digests to a few hosts that were unknown until now, so that two parts of a mesh which
+    /// lost each other merge again.
+    fn greet(&mut self, unknown: &[host::HostId]) {
+        let some: Vec<_> = unknown.sample(&mut self.rng, MAX_GREETED).copied().collect();
         for host in some {
             self.send_digest(host, wire::Prefix::default());
         }
@@ -225,16 +233,17 @@
         self.send(peer, wire::Body::Pull { cursor: self.join.next_hash });
     }
 
-    /// Waits a random time, up to a limit that doubles with each attempt, before asking again.
+    /// Delays the next attempt by a random time, up to a limit that doubles with each attempt. The
+    /// next attempt goes to `instead`, if given.
     fn back_off(&mut self, instead: Option<host::HostId>) {
         let doubled = self.settings.join_ms << self.join.attempt.min(10);
-        let most = detect::millis(doubled.min(self.settings.join_most_ms));
+        let max = detect::millis(doubled.min(self.settings.join_most_ms));
         self.join.attempt += 1;
         self.join.next_peer = instead;
-        self.join.next_attempt = self.now + most.mul_f64(self.rng.random_range(0.0..1.0));
+        self.join.next_attempt = self.now + max.mul_f64(self.rng.random_range(0.0..1.0));
     }
 
-    /// `from` has no page to give now.
+    /// Handles the refusal of a page by `from`, which may have named another host to ask.
     pub(super) fn page_refused(&mut self, from: host::HostId, instead: Option<host::HostId>) {
         if self.join.asked.take_if(|a| a.peer == from).is_some() {
             self.join.progress = self.now;
@@ -242,13 +251,14 @@
         }
     }
 
-    /// A page came from `from`.
+    /// Handles the end of a page from `from`, whose items are merged already.
     pub(super) fn receive_page(&mut self, from: host::HostId, next: Option<u32>, settled: bool) {
         if self.join.done || self.join.asked.take_if(|a| a.peer == from).is_none() {
             return;
         }
         if settled {
-            // Hosts that all join at once must not wait for each other for ever.
+            // Only a host that has joined counts: hosts that all join at once must not wait for
+            // each other for ever.
             self.join.progress = self.now;
             self.join.attempt = 0;
         }
@@ -272,13 +282,14 @@
         self.dirty = true;
         log::info!(hosts = self.table.present(), how:? = event; "joined the mesh");
         self.change_standing(event);
-        // What was sent so far went to the hosts asked for pages.
+        // So far this host's record has reached only the hosts that were asked for pages.
         self.queue_update(updates::Topic::Record(self.id), updates::Priority::Plain, 0);
     }
 
-    /// Gives `to` the page of the table from `cursor` on, or says who else may.
+    /// Sends `to` the page of the table from hash `cursor` on, or names another host when the rate
+    /// limit is reached.
     pub(super) fn send_page(&mut self, to: host::HostId, cursor: u32) {
-        if !self.join.draw(f64::from(self.settings.pages), self.now) {
+        if !self.join.take_token(f64::from(self.settings.pages), self.now) {
             let instead = self.sample(1, to).pop();
             self.send(to, wire::Body::Busy { instead });
             return;
--- a/src/member/mod.rs
+++ b/src/member/mod.rs
@@ -1,7 +1,7 @@
-//! Membership: who is there, and in what state.
+//! Membership: which hosts belong to the mesh, and in what state each of them is.
 //!
-//! [`Member`] is the pure decision; [`shell`] is its thread. Hosts probe each other in the manner
-//! of SWIM, pass records and claims on a bounded number of times, and mend what was lost by
+//! [`Member`] is a pure state machine; [`shell`] runs it on its thread. Hosts probe each other as
+//! in SWIM, gossip each record and claim a bounded number of times, and repair what was lost by
 //! comparing digests of ranges of the table. `docs/design/membership.md` gives reasons and figures.
 
 use std::io;
@@ -37,59 +37,59 @@
 #[cfg(test)]
 mod tests;
 
-/// Bytes of a configuration's digest that a probe carries.
+/// Length of the prefix of a configuration's digest that a probe carries.
 pub const HASH_BYTES: usize = 4;
 
-/// Time between two looks for hosts to forget.
+/// Time between two removals of expired hosts and quarantine entries.
 const CLEANUP_INTERVAL: time::Duration = time::Duration::from_secs(10);
 
-/// A peer runs a configuration that differs from ours: newer, older or another.
+/// A peer runs another configuration than this node: a newer, an older or a conflicting one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct VersionMismatch {
     /// The peer.
     pub host: host::HostId,
-    /// Version it runs.
+    /// Version of the configuration that the peer runs.
     pub version: version::Version,
-    /// First bytes of the digest of what it runs.
+    /// First bytes of the digest of that configuration.
     pub hash: [u8; HASH_BYTES],
 }
 
 /// Why the membership duty ended.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The address can't be listened on.
+    /// The UDP socket can't be bound.
     #[error("can't receive membership datagrams on {address}")]
     Bind {
         /// Address of the socket.
         address: net::SocketAddr,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// What happens to a member.
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// This node runs another configuration.
+    /// This node now runs the configuration with this version id.
     Applied(version::VersionId),
-    /// A datagram of this mesh arrived.
+    /// An authenticated datagram arrived.
     Datagram(Box<wire::Datagram>),
-    /// The upstream beside this node announced itself, changed or is gone.
+    /// The upstream beside this node announced itself or changed; `None` when it is gone.
     Local(Option<Arc<view::Upstream>>),
-    /// The process is in another stage.
+    /// The process entered another stage.
     Stage(node::Stage),
-    /// Hosts that the directory lists.
+    /// The directory returned its list of hosts.
     Listed(Vec<directory::Listed>),
-    /// What the calls of this node found out about requests.
+    /// The upstream beside this node crashed under calls, or an upstream answered a request.
     Report(quarantine::Report),
-    /// Time has passed.
+    /// The time given by [`Member::wake`] has come.
     Tick,
 }
 
-/// What a member wants done.
+/// An output of the state machine, for the shell to carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Tell the distribution duty of a peer that runs something else.
+    /// Notify the distribution duty of a peer that runs another configuration.
     VersionMismatch(VersionMismatch),
     /// Send a datagram.
     Send {
@@ -100,23 +100,23 @@
     },
 }
 
-/// The membership decision of one host.
+/// The membership state machine of one host.
 pub struct Member {
     id: host::HostId,
     locality: Arc<view::Locality>,
     settings: configs::member::Member,
     rng: rngs::Xoshiro256PlusPlus,
     now: clock::Instant,
-    /// Configuration this node runs.
+    /// Version id of the configuration this node runs.
     running: version::VersionId,
-    /// The upstream as it announced itself.
+    /// The upstream as it announced itself to this node; `None` while there is none.
     local: Option<Arc<view::Upstream>>,
     stage: node::Stage,
-    /// Invariant: this host's own entry is always in it.
+    /// Invariant: always contains this host's own entry.
     table: table::Table,
     /// When the table last changed.
     changed: clock::Instant,
-    /// Present hosts but this one, in no order.
+    /// All present hosts except this one, in no particular order.
     peers: Vec<host::HostId>,
     updates: updates::Queue,
     burst: gossip::Burst,
@@ -127,22 +127,23 @@
     join: join::Join,
     quarantine: quarantined::Quarantine,
     standing: standing::Standing,
-    /// Number of the last ping or question.
+    /// Sequence number of the last ping or ping request.
     sequence: u32,
-    /// Whether the view differs from the last one taken.
+    /// Whether the view has changed since [`Member::view`] was last called.
     dirty: bool,
     out: Vec<Action>,
 }
 
 impl Member {
-    /// A host that joins the mesh at `now`, in an incarnation higher than each before it on the
-    /// same address, as `unix_millis` is.
+    /// A host that starts to join the mesh at `now`. `incarnation` must be higher than every
+    /// earlier one on the same address, as the `unix_millis` of the start are.
     pub fn new(settings: &configs::Node, seed: u64, incarnation: u64, now: clock::Instant) -> Self {
         let id = host::HostId::new(settings.listen);
-        let place = view::Locality { region: settings.region.clone(), zone: settings.zone.clone() };
+        let locality =
+            view::Locality { region: settings.region.clone(), zone: settings.zone.clone() };
         let mut member = Self {
             id,
-            locality: Arc::new(place),
+            locality: Arc::new(locality),
             settings: settings.member.clone(),
             rng: rngs::Xoshiro256PlusPlus::seed_from_u64(seed),
             now,
@@ -170,17 +171,18 @@
         member
     }
 
-    /// Takes an event at `now` and gives what is to be done.
+    /// Handles `event` at `now` and returns the actions to carry out. After the end of the process
+    /// events are ignored.
     pub fn handle(&mut self, event: Event, now: clock::Instant) -> Vec<Action> {
         self.advance(now);
         if self.stage != node::Stage::End {
-            self.take(event);
+            self.apply(event);
             self.run_timers();
         }
         std::mem::take(&mut self.out)
     }
 
-    /// When the member wants a [`Event::Tick`] at the latest.
+    /// The latest time at which the next [`Event::Tick`] is due.
     pub fn wake(&self) -> clock::Instant {
         let mut wake = self.prober.wake().min(self.detect.wake());
         let others =
@@ -191,34 +193,34 @@
         wake
     }
 
-    /// Whether [`Member::view`] would give another view than last time.
+    /// Whether [`Member::view`] would return another view than at its last call.
     pub fn has_changed(&self) -> bool {
         self.dirty
     }
 
-    /// The hosts as seen from here.
+    /// All known hosts except those that left, as this host sees them.
     pub fn view(&mut self) -> view::View {
         self.dirty = false;
-        let left = |e: &table::Entry| e.claim == Some(wire::Claim::Left);
-        let known = self.table.iter().filter(|(_, e)| !left(e));
+        let has_left = |e: &table::Entry| e.claim == Some(wire::Claim::Left);
+        let known = self.table.iter().filter(|(_, e)| !has_left(e));
         let hosts = known.map(|(id, entry)| self.host(id, entry)).collect();
         view::View { standing: self.standing.get(), ..view::View::new(hosts) }
     }
 
-    /// This host's standing.
+    /// Whether this host may act as a member of the mesh.
     pub fn standing(&self) -> view::Standing {
         self.standing.get()
     }
 
-    /// How many hosts count as present, this one included.
+    /// The number of hosts that are neither dead nor have left, this one included.
     pub fn present(&self) -> usize {
         self.table.present()
     }
 
     fn host(&self, id: host::HostId, entry: &table::Entry) -> view::Host {
-        let dark = self.zones.is_unreachable(&entry.record.locality.zone) && id != self.id;
+        let zone_lost = self.zones.is_unreachable(&entry.record.locality.zone) && id != self.id;
         let health = match entry.claim {
-            _ if dark => view::Health::Unreachable,
+            _ if zone_lost => view::Health::Unreachable,
             None if self.is_unconfirmed(entry) => view::Health::Suspect,
             None => view::Health::Alive,
             Some(wire::Claim::Suspect) => view::Health::Suspect,
@@ -233,18 +235,18 @@
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         match event {
-            Event::Applied(stamp) => self.running = stamp,
+            Event::Applied(version_id) => self.running = version_id,
             Event::Datagram(datagram) => self.receive(&datagram),
             Event::Local(upstream) => {
                 self.local = upstream;
-                self.update();
+                self.refresh_record();
             }
             Event::Stage(node::Stage::End) => self.leave(),
             Event::Stage(stage) => {
                 self.stage = stage;
-                self.update();
+                self.refresh_record();
             }
             Event::Listed(hosts) => self.merge_listed(hosts),
             Event::Report(report) => self.report(report),
@@ -260,13 +262,14 @@
         self.run_burst();
     }
 
-    /// Moves time on, and finds out when the process did not run for a while.
+    /// Advances the time. A long gap since the last event means that the process was paused: others
+    /// may have declared it dead meanwhile, so its standing has to be confirmed.
     fn advance(&mut self, now: clock::Instant) {
         let gap = now.since(self.now);
         self.now = now.max(self.now);
         let probe = time::Duration::from_millis(self.settings.probe_ms);
         if gap > time::Duration::from_millis(self.settings.pause_ms).max(2 * probe) {
-            self.forgive(gap);
+            self.compensate_pause(gap);
             self.change_standing(standing::Event::Paused { proof: self.sequence + 1 });
             self.confirm_standing();
         }
@@ -280,12 +283,12 @@
     }
 
     /// Incarnation and serial of this host's own record.
-    fn own_version(&self) -> (u64, u32) {
+    fn record_version(&self) -> (u64, u32) {
         let own = self.table.get(self.id);
         own.map(|e| (e.record.incarnation, e.record.serial)).unwrap_or_default()
     }
 
-    /// What this host says of its upstream.
+    /// The upstream as this host announces it: draining as soon as the process drains.
     fn upstream(&self) -> Option<Arc<view::Upstream>> {
         let local = self.local.as_ref()?;
         if self.stage < node::Stage::Drain || local.phase == view::Phase::Draining {
@@ -297,13 +300,12 @@
         }))
     }
 
-    /// Replaces this host's own record and spreads it.
+    /// Replaces this host's own record and queues it for gossip.
     fn announce(&mut self, (incarnation, serial): (u64, u32), rank: updates::Priority) {
-        let place = Arc::clone(&self.locality);
-        let record =
-            table::Record { incarnation, serial, locality: place, upstream: self.upstream() };
+        let locality = Arc::clone(&self.locality);
+        let record = table::Record { incarnation, serial, locality, upstream: self.upstream() };
         if self.table.merge(self.id, record, self.now) == table::Change::Unchanged {
-            // The highest incarnation can't be outlived.
+            // There is no incarnation above the highest one.
             return;
         }
         self.changed = self.now;
@@ -311,12 +313,12 @@
         self.queue_update(updates::Topic::Record(self.id), rank, 0);
     }
 
-    /// Spreads this host's own record if its upstream is another than it says.
-    fn update(&mut self) {
+    /// Announces a new record if the upstream differs from the one in the current record.
+    fn refresh_record(&mut self) {
         let old = self.table.get(self.id).and_then(|e| e.record.upstream.clone());
         let new = self.upstream();
         if old != new {
-            let (incarnation, serial) = self.own_version();
+            let (incarnation, serial) = self.record_version();
             self.announce(
                 (incarnation, serial + 1),
                 gossip::priority(old.as_deref(), new.as_deref()),
@@ -324,15 +326,15 @@
         }
     }
 
-    /// Begins a life above `incarnation`, which others hold against this host.
+    /// Refutes claims and records of `incarnation` by announcing a higher one.
     fn raise_incarnation(&mut self, incarnation: u64) {
         self.announce((incarnation.saturating_add(1), 1), updates::Priority::Urgent);
     }
 
-    /// Tells a few hosts that this one is gone for good.
+    /// Notifies a few hosts that this one leaves the mesh for good.
     fn leave(&mut self) {
         self.stage = node::Stage::End;
-        let (incarnation, _) = self.own_version();
+        let (incarnation, _) = self.record_version();
         for to in self.sample(self.fanout() as usize, self.id) {
             let mut packer = wire::Packer::new(self.id, wire::Body::Gossip);
             packer.claim(self.id, incarnation, wire::Claim::Left);
--- a/src/member/probe.rs
+++ b/src/member/probe.rs
@@ -1,8 +1,8 @@
-//! Whom to probe next, and when a host has failed to answer.
+//! Schedule of probes: which host is probed next, and when a host has failed to answer.
 //!
-//! One host is probed in each period: a ping, and when no answer comes in time a second ping and
-//! questions to helpers. A host that did not answer in a period is probed again in the next one;
-//! only after two silent periods it has failed, so that lost datagrams raise few suspicions.
+//! One host is probed in each period: by a ping and, when no ack comes in time, by a second ping
+//! and ping requests to helpers. A host that did not answer in one period is probed again in the
+//! next; it has failed only after two silent periods, so that lost datagrams raise few suspicions.
 
 use std::collections;
 use std::time;
@@ -16,74 +16,78 @@
 #[derive(Clone, Copy, Debug)]
 struct Probe {
     target: host::HostId,
-    /// First sequence number whose answer counts.
+    /// Lowest sequence number whose ack counts.
     first: u32,
     began: clock::Instant,
-    /// When helpers are asked; `None` once they were.
+    /// When helpers are asked; `None` once they have been.
     ask: Option<clock::Instant>,
-    /// Whether this is the second period.
+    /// Whether this is the second period of the probe.
     second: bool,
 }
 
-/// A ping made for another host.
+/// A ping sent on behalf of another host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Relay {
-    /// Host that asked.
+    /// Host that requested the ping.
     pub asker: host::HostId,
-    /// Number of its question.
+    /// Sequence number of its request.
     pub sequence: u32,
-    /// Host pinged for it.
+    /// Host that was pinged.
     pub target: host::HostId,
 }
 
-/// What is due.
+/// A step of the schedule that is due.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Ping the host again and ask helpers to ping it.
-    Ask(host::HostId),
-    /// The host was silent for two periods.
+    /// Ping the host again and ask helpers to ping it too.
+    AskHelpers(host::HostId),
+    /// The host did not answer for two periods.
     Failed {
         /// The host.
         target: host::HostId,
         /// When the first of the two periods began.
         began: clock::Instant,
     },
-    /// The host is to be pinged once more, in a second period.
+    /// Ping the host again, in its second period.
     Retry(host::HostId),
-    /// A new period begins without a host under probe.
+    /// Choose the next host to probe: a period begins without one.
     Next,
 }
 
-/// Probes of one host after the other, each once in a random round.
+/// The schedule: rounds in random order, in each of which every peer is probed once.
 #[derive(Clone, Debug, Default)]
 pub struct Prober {
+    /// Hosts still to be probed in this round.
     round: Vec<host::HostId>,
     probe: Option<Probe>,
+    /// When the next period begins.
     next: clock::Instant,
+    /// Relayed pings by sequence number, newest first.
     relays: collections::VecDeque<(u32, Relay)>,
 }
 
-/// Most relays remembered at once; older ones are dropped.
+/// Relays remembered at once; older ones are dropped.
 const MAX_RELAYS: usize = 64;
 
 impl Prober {
-    /// When something is due next.
+    /// When the next step is due.
     pub fn wake(&self) -> clock::Instant {
         self.probe.and_then(|p| p.ask).map_or(self.next, |ask| ask.min(self.next))
     }
 
-    /// What is due at `now`, if anything. The next period then begins after `period`.
+    /// The step that is due at `now`; `None` when there is none. Where it begins a period, that
+    /// period lasts for `period`.
     pub fn step(&mut self, period: time::Duration, now: clock::Instant) -> Option<Step> {
         if now >= self.next {
             self.next = now + period;
-            return Some(self.turn());
+            return Some(self.begin_period());
         }
         let probe = self.probe.as_mut()?;
         probe.ask.take_if(|ask| *ask <= now)?;
-        Some(Step::Ask(probe.target))
+        Some(Step::AskHelpers(probe.target))
     }
 
-    fn turn(&mut self) -> Step {
+    fn begin_period(&mut self) -> Step {
         match self.probe.take() {
             None => Step::Next,
             Some(Probe { target, began, second: true, .. }) => Step::Failed { target, began },
@@ -94,7 +98,8 @@
         }
     }
 
-    /// The next host of the round that `wanted` accepts; a new round is made of `peers`.
+    /// The next host of the round that `wanted` accepts; when none is left, a new round of `peers`
+    /// begins.
     pub fn choose(
         &mut self,
         peers: &[host::HostId],
@@ -111,7 +116,7 @@
         self.round.pop()
     }
 
-    /// Notes that `target` was pinged with `sequence` at `now`; helpers are asked at `ask`.
+    /// Records that `target` was pinged with `sequence` at `now`; helpers are to be asked at `ask`.
     pub fn record_ping(
         &mut self,
         target: host::HostId,
@@ -128,27 +133,28 @@
         }
     }
 
-    /// Notes an answer of `target` to the ping or question `sequence`.
+    /// Records an ack of `target`, direct or through a helper, for the ping with `sequence`.
     pub fn record_answer(&mut self, target: host::HostId, sequence: u32) {
         self.probe.take_if(|p| p.target == target && sequence >= p.first);
     }
 
-    /// Remembers a ping with `sequence` made for another host.
+    /// Remembers a ping with `sequence` that was sent for another host.
     pub fn add_relay(&mut self, sequence: u32, relay: Relay) {
         self.relays.truncate(MAX_RELAYS - 1);
         self.relays.push_front((sequence, relay));
     }
 
-    /// The relay whose ping `sequence` was answered by `target`.
+    /// Removes and returns the relay whose ping `sequence` was answered by `target`.
     pub fn take_relay(&mut self, target: host::HostId, sequence: u32) -> Option<Relay> {
         let mut relays = self.relays.iter();
         let index = relays.position(|(s, r)| *s == sequence && r.target == target)?;
         self.relays.remove(index).map(|(_, relay)| relay)
     }
 
-    /// Drops the probe under way, since this process was paused, and begins a period at `now`.
-    pub fn forgive(&mut self, now: clock::Instant) {
+    /// Drops the probe under way, as after a pause of this process, and begins the next period at
+    /// `next`.
+    pub fn restart(&mut self, next: clock::Instant) {
         self.probe = None;
-        self.next = now;
+        self.next = next;
     }
 }
--- a/src/member/quarantined.rs
+++ b/src/member/quarantined.rs
@@ -1,6 +1,6 @@
-//! News of requests under which upstreams end: ends and answers are passed on as they come, and what
-//! follows from them is compared with each ping and its answer, so that hosts which missed some, were
-//! cut off or have just started learn what is refused.
+//! Distribution of quarantine entries: crashes and answers are sent on by gossip, and digests of
+//! the entries that follow from them are compared with each ping and ack, so that hosts which
+//! missed an update, were cut off or have just started learn which requests to refuse.
 
 use std::time;
 
@@ -12,142 +12,153 @@
 use crate::member::wire;
 use crate::quarantine;
 
-/// Bits of an end's number below the incarnation of its host.
+/// Bits of a crash's number that count crashes; the bits above hold the incarnation of its host.
 const COUNT_BITS: u32 = 16;
 
-/// What this host knows of such requests, and what it tells.
+/// The quarantine table of this host.
 #[derive(Debug)]
 pub(super) struct Quarantine {
     host: host::HostId,
-    /// Number of the next end of the upstream beside this host.
+    /// Number of the next crash of the upstream beside this host.
     number: u64,
     table: quarantine::Table,
-    /// Whether the table has changed since it was last published.
+    /// Whether the table has changed since the last snapshot.
     changed: bool,
 }
 
 impl Quarantine {
-    /// Knows nothing yet, on `host` in a life that began with `incarnation`.
+    /// An empty table on `host`, whose process started with `incarnation`.
     pub fn new(host: host::HostId, incarnation: u64) -> Self {
         let number = incarnation << COUNT_BITS;
         Self { host, number, table: quarantine::Table::default(), changed: false }
     }
 
-    /// The end called `id`, to be told at `now`.
+    /// The item for the crash `id` in a datagram of `now`; `None` when it is not known any more.
     pub fn crash(&self, id: quarantine::CrashId, now: clock::Instant) -> Option<wire::Item> {
-        let end = self.table.crash(id)?;
-        let prints = end.fingerprints.to_vec();
-        Some(wire::Item::Crash(wire::Crash { id, age_ms: age(end.at, now), fingerprints: prints }))
+        let crash = self.table.crash(id)?;
+        let fingerprints = crash.fingerprints.to_vec();
+        Some(wire::Item::Crash(wire::Crash { id, age_ms: age(crash.at, now), fingerprints }))
     }
 
-    /// What is held of `print`, to be told at `now`.
-    pub fn entry(&self, print: quarantine::Fingerprint, now: clock::Instant) -> Option<wire::Item> {
-        self.table.entry(print).map(|ban| tell(print, ban, now))
+    /// The item for the entry of `fingerprint` in a datagram of `now`; `None` without an entry.
+    pub fn entry(
+        &self,
+        fingerprint: quarantine::Fingerprint,
+        now: clock::Instant,
+    ) -> Option<wire::Item> {
+        self.table.entry(fingerprint).map(|entry| item(fingerprint, entry, now))
     }
 
-    /// The digest of what is held of all requests; `None` when there is nothing to compare.
+    /// The item with the digest of all entries; `None` when there are no entries.
     pub fn digest_item(&self) -> Option<wire::Item> {
         let digest = self.table.digest();
-        let held = digest != quarantine::Digest::default();
-        held.then_some(wire::Item::Quarantines { digest, reply: true })
+        let any = digest != quarantine::Digest::default();
+        any.then_some(wire::Item::Quarantines { digest, reply: true })
     }
 
-    /// Adds what is held of requests to a datagram of `now`, as far as it fits.
+    /// Adds the entries of quarantined requests to a datagram of `now`, as far as they fit.
     pub fn pack(&self, packer: &mut wire::Packer, now: clock::Instant) {
-        for (print, ban) in self.table.quarantined() {
-            if !packer.item(tell(print, ban, now)) {
+        for (fingerprint, entry) in self.table.quarantined() {
+            if !packer.item(item(fingerprint, entry, now)) {
                 return;
             }
         }
     }
 
-    /// Drops what says nothing any more.
+    /// Removes expired crashes and entries.
     pub fn forget(&mut self, now: clock::Instant) {
         self.changed |= self.table.forget(now);
     }
 
-    /// The end of the upstream beside this host, at which `prints` ran.
+    /// The record of a crash of the upstream beside this host while `fingerprints` ran. Of too many
+    /// requests those with the most known crashes are kept.
     fn own_crash(
         &mut self,
-        mut prints: Vec<quarantine::Fingerprint>,
+        mut fingerprints: Vec<quarantine::Fingerprint>,
         now: clock::Instant,
     ) -> quarantine::Crash {
         let known = self.table.snapshot();
-        prints.sort_by_key(|print| (std::cmp::Reverse(known.crashes(*print)), *print));
-        prints.dedup();
-        prints.truncate(quarantine::MAX_FINGERPRINTS);
+        fingerprints.sort_by_key(|f| (std::cmp::Reverse(known.crashes(*f)), *f));
+        fingerprints.dedup();
+        fingerprints.truncate(quarantine::MAX_FINGERPRINTS);
         let id = quarantine::CrashId { host: self.host, number: self.number };
         self.number += 1;
-        quarantine::Crash { id, at: now, fingerprints: prints.into() }
+        quarantine::Crash { id, at: now, fingerprints: fingerprints.into() }
     }
 }
 
 impl member::Member {
-    /// Whether [`member::Member::snapshot`] would give something else than last time.
+    /// Whether the table has changed since the last [`member::Member::quarantine_snapshot`].
     pub fn quarantine_changed(&self) -> bool {
         self.quarantine.changed
     }
 
-    /// What is known of requests under which upstreams end.
+    /// The current quarantine entries.
     pub fn quarantine_snapshot(&mut self) -> quarantine::Snapshot {
         self.quarantine.changed = false;
         self.quarantine.table.snapshot()
     }
 
-    /// Takes in what the calls of this node found out, and tells the others.
+    /// Records what a call of this node found out, and queues it for gossip.
     pub(super) fn report(&mut self, report: quarantine::Report) {
         match report {
-            quarantine::Report::Crashed(prints) => {
-                let end = self.quarantine.own_crash(prints, self.now);
-                self.record_crash(end);
+            quarantine::Report::Crashed(fingerprints) => {
+                let crash = self.quarantine.own_crash(fingerprints, self.now);
+                self.record_crash(crash);
             }
-            quarantine::Report::Answered(print) => self.record_answer(print),
+            quarantine::Report::Answered(fingerprint) => self.record_answer(fingerprint),
         }
     }
 
-    fn record_answer(&mut self, print: quarantine::Fingerprint) {
-        let ends = self.quarantine.table.clear(print, self.now);
-        self.quarantine.changed |= ends > 0;
-        // One end proves nothing anywhere: its excuse would only be traffic.
-        if ends >= quarantine::SUSPICION_THRESHOLD {
-            self.queue_update(updates::Topic::Quarantine(print), updates::Priority::Urgent, 0);
+    fn record_answer(&mut self, fingerprint: quarantine::Fingerprint) {
+        let crashes = self.quarantine.table.clear(fingerprint, self.now);
+        self.quarantine.changed |= crashes > 0;
+        // Below this threshold no host acts on the crashes, so that lifting them would only be
+        // traffic.
+        if crashes >= quarantine::SUSPICION_THRESHOLD {
+            self.queue_update(
+                updates::Topic::Quarantine(fingerprint),
+                updates::Priority::Urgent,
+                0,
+            );
         }
     }
 
-    fn record_crash(&mut self, end: quarantine::Crash) {
-        let id = end.id;
-        if self.quarantine.table.note(end, self.now) {
+    fn record_crash(&mut self, crash: quarantine::Crash) {
+        let id = crash.id;
+        if self.quarantine.table.note(crash, self.now) {
             self.quarantine.changed = true;
             self.queue_update(updates::Topic::Crash(id), updates::Priority::Urgent, 0);
         }
     }
 
-    /// Takes in the end of another host's upstream.
-    pub(super) fn merge_crash(&mut self, end: &wire::Crash) {
-        let at = before(self.now, end.age_ms);
-        let prints = end.fingerprints.as_slice().into();
-        self.record_crash(quarantine::Crash { id: end.id, at, fingerprints: prints });
+    /// Merges the crash of another host's upstream.
+    pub(super) fn merge_crash(&mut self, crash: &wire::Crash) {
+        let at = before(self.now, crash.age_ms);
+        let fingerprints = crash.fingerprints.as_slice().into();
+        self.record_crash(quarantine::Crash { id: crash.id, at, fingerprints });
     }
 
-    /// Takes in what another host holds of a request.
-    pub(super) fn merge_entry(&mut self, ban: &wire::QuarantineEntry, way: gossip::Source) {
-        let last = before(self.now, ban.age_ms);
-        let held = quarantine::Entry { crashes: ban.crashes, lifted: ban.lifted, last };
-        if !self.quarantine.table.merge(ban.fingerprint, held, self.now) {
+    /// Merges a quarantine entry of another host.
+    pub(super) fn merge_entry(&mut self, entry: &wire::QuarantineEntry, source: gossip::Source) {
+        let last = before(self.now, entry.age_ms);
+        let merged = quarantine::Entry { crashes: entry.crashes, lifted: entry.lifted, last };
+        if !self.quarantine.table.merge(entry.fingerprint, merged, self.now) {
             return;
         }
         self.quarantine.changed = true;
-        // Ends are news of their own, and every host finds out itself what follows from them.
-        if ban.lifted && way == gossip::Source::Gossip {
+        // Crashes are sent on as updates of their own, from which every host derives its entries.
+        if entry.lifted && source == gossip::Source::Gossip {
             self.queue_update(
-                updates::Topic::Quarantine(ban.fingerprint),
+                updates::Topic::Quarantine(entry.fingerprint),
                 updates::Priority::Urgent,
                 0,
             );
         }
     }
 
-    /// `from` holds what `digest` stands for; tells it what is held here where that differs.
+    /// Compares the digest of the entries of `from` with this host's, and sends this host's entries
+    /// if they differ.
     pub(super) fn compare_quarantine(
         &mut self,
         from: host::HostId,
@@ -169,10 +180,15 @@
     }
 }
 
-fn tell(print: quarantine::Fingerprint, ban: quarantine::Entry, now: clock::Instant) -> wire::Item {
-    let quarantine::Entry { crashes, lifted, last } = ban;
+/// The item for `entry` in a datagram of `now`.
+fn item(
+    fingerprint: quarantine::Fingerprint,
+    entry: quarantine::Entry,
+    now: clock::Instant,
+) -> wire::Item {
+    let quarantine::Entry { crashes, lifted, last } = entry;
     wire::Item::Quarantine(wire::QuarantineEntry {
-        fingerprint: print,
+        fingerprint,
         crashes,
         lifted,
         age_ms: age(last, now),
@@ -184,7 +200,7 @@
     u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX)
 }
 
-/// The instant `age_ms` milliseconds before `now`; the origin where there was none.
+/// The instant `age_ms` milliseconds before `now`, but not before [`clock::Instant::ZERO`].
 fn before(now: clock::Instant, age_ms: u32) -> clock::Instant {
     let age = time::Duration::from_millis(u64::from(age_ms));
     clock::Instant::ZERO + now.since(clock::Instant::ZERO).saturating_sub(age)
--- a/src/member/repair.rs
+++ b/src/member/repair.rs
@@ -1,7 +1,7 @@
-//! Finding and mending what updates missed, by digests of ranges of the table.
+//! Anti-entropy: finds and repairs what gossip missed, by digests of ranges of the table.
 //!
-//! Every probe carries the digest of all records. When it differs for a while, the digests of
-//! sixteen ranges are sent; a host that sees a difference answers with the digests of a range's
+//! Every ping and ack carries the digest of all records. When it differs for a while, the digests
+//! of sixteen ranges are sent; a host that sees a difference answers with the digests of a range's
 //! parts or, once a range is small, with its records.
 
 use std::collections;
@@ -15,43 +15,44 @@
 use crate::member::table;
 use crate::member::wire;
 
-/// Hosts in a range whose records are sent rather than its digests.
+/// Largest number of hosts in a range whose records are sent in place of its digests.
 const MAX_BUCKET_HOSTS: usize = 12;
 
-/// Longest prefix that is split further.
+/// Longest prefix of a range that is split further.
 const MAX_SPLIT_BITS: u8 = 24;
 
-/// Differing parts followed at once at the top, and below it.
+/// Differing parts that are followed at once, at the root of the digest tree and below it.
 const MAX_TOP_PARTS: usize = 4;
 const MAX_LOWER_PARTS: usize = 2;
 
-/// Probe periods the table must be unchanged before a difference is taken seriously.
+/// Probe periods for which the table must be unchanged before a difference is followed.
 const SETTLED_PROBES: u32 = 3;
 
 /// Repair periods after which a difference is followed although the table still changes.
 const OVERDUE_REPAIRS: u32 = 4;
 
-/// When the last repair was begun from here.
+/// State of the repairs that this host begins.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Repair {
+    /// When the last one began.
     last: clock::Instant,
 }
 
 impl member::Member {
-    /// What this host runs and knows.
+    /// The configuration this host runs and the digest of its table.
     pub(super) fn running_here(&self) -> wire::Running {
         let mut hash = [0; member::HASH_BYTES];
         hash.copy_from_slice(&self.running.digest.bytes()[..member::HASH_BYTES]);
         wire::Running { version: self.running.version, hash, root: self.table.root() }
     }
 
-    /// Compares what `from` runs and knows with what this host does.
+    /// Compares the configuration and the table of `from` with those of this host.
     pub(super) fn compare_running(&mut self, from: host::HostId, running: wire::Running) {
         let own = self.running_here();
         let wire::Running { version, hash, root } = running;
         if (version, hash) != (own.version, own.hash) {
-            let heard = member::VersionMismatch { host: from, version, hash };
-            self.out.push(member::Action::VersionMismatch(heard));
+            let mismatch = member::VersionMismatch { host: from, version, hash };
+            self.out.push(member::Action::VersionMismatch(mismatch));
         }
         if root != own.root && self.may_repair() {
             self.repair.last = self.now;
@@ -72,7 +73,7 @@
         self.send(to, wire::Body::Digest { prefix, children });
     }
 
-    /// Follows some of the parts of a range that differ here.
+    /// Compares digests that `from` sent, and follows some of the parts that differ here.
     pub(super) fn compare_digests(
         &mut self,
         from: host::HostId,
@@ -108,7 +109,8 @@
         self.out.push(member::Action::Send { to, datagram: packer.finish() });
     }
 
-    /// Sends back what is known better here than in the range that `datagram` holds.
+    /// Answers a bucket with the claims about its `stale` hosts and, with `reply`, with the records
+    /// of the range that are newer here.
     pub(super) fn answer_bucket(
         &mut self,
         datagram: &wire::Datagram,
@@ -124,14 +126,14 @@
             }
         }
         if reply {
-            self.pack_better(datagram, prefix, &mut packer);
+            self.pack_newer(datagram, prefix, &mut packer);
         }
         if !packer.is_empty() {
             self.out.push(member::Action::Send { to: datagram.from, datagram: packer.finish() });
         }
     }
 
-    fn pack_better(
+    fn pack_newer(
         &self,
         datagram: &wire::Datagram,
         prefix: wire::Prefix,
@@ -142,11 +144,11 @@
             _ => None,
         });
         let theirs: collections::BTreeMap<_, _> = records.collect();
-        let better = |id: &host::HostId, e: &table::Entry| {
+        let newer = |id: &host::HostId, e: &table::Entry| {
             let own = (e.record.incarnation, e.record.serial);
-            theirs.get(id).is_none_or(|account| *account < own)
+            theirs.get(id).is_none_or(|numbers| *numbers < own)
         };
-        for (id, entry) in self.table.within(prefix).filter(|(id, e)| better(id, e)) {
+        for (id, entry) in self.table.within(prefix).filter(|(id, e)| newer(id, e)) {
             entry.record.pack(id, packer);
         }
     }
--- a/src/member/shell.rs
+++ b/src/member/shell.rs
@@ -1,4 +1,4 @@
-//! The thread of the membership duty: sockets, time and rings around the decisions.
+//! The membership duty: runs the state machine with its socket, the clock and its channels.
 
 use std::future;
 use std::io;
@@ -26,25 +26,25 @@
 use crate::version;
 use crate::view;
 
-/// Least time between two views; changes in between are published together. A change of this
-/// host's standing is published at once.
+/// Shortest time between two published views; changes in between are published together. A change
+/// of this host's standing is published at once.
 const PUBLISH_INTERVAL: std::time::Duration = std::time::Duration::from_millis(20);
 
-/// What joins the membership duty to the others.
+/// Channels between the membership duty and the other duties.
 #[derive(Debug)]
 pub struct Wiring {
-    /// Configuration this node runs; its version rides in every probe.
+    /// Configuration this node runs; every ping and ack carries its version.
     pub applied: watch::Receiver<Arc<mesh::Applied>>,
-    /// Where the known hosts are put.
+    /// The published view of the hosts.
     pub view: watch::Sender<Arc<view::View>>,
-    /// To the distribution duty: peers that run something else. Full: dropped, since the next
-    /// probe says it again.
+    /// To the distribution duty: peers that run another configuration. When the ring is full, a
+    /// mismatch is dropped, since the next ping reports it again.
     pub mismatches: ring::Sender<member::VersionMismatch>,
     /// The upstream beside this node.
     pub local: watch::Receiver<Option<Arc<node::Local>>>,
-    /// Requests under which upstreams end.
+    /// Reports of crashes and answers, and the published quarantine entries.
     pub quarantine: quarantine::MemberSide,
-    /// Stage of the process; the duty leaves the mesh and ends at [`node::Stage::End`].
+    /// Stage of the process; at [`node::Stage::End`] the duty leaves the mesh and ends.
     pub stage: watch::Receiver<node::Stage>,
     /// Counters of control traffic.
     pub traffic: Arc<traffic::Traffic>,
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the socket can't be made.
+/// Fails when the socket can't be bound.
 pub async fn run<D: directory::Directory>(
     ctx: context::Context,
     settings: Arc<configs::Node>,
@@ -90,20 +90,20 @@
         wiring,
     };
     duty.run().await;
-    if !serves(&local) {
+    if !is_serving(&local) {
         search::deregister(&directory, host).await;
     }
     Ok(())
 }
 
-/// Whether the upstream stays where it is: its node is about to start again and stays listed, so that
-/// a roll of all nodes costs two requests less for each.
-fn serves(local: &watch::Receiver<Option<Arc<node::Local>>>) -> bool {
+/// Whether the upstream is not draining, so that its node is about to restart. Such a node stays
+/// registered, which saves two requests for each node when all nodes are restarted in turn.
+fn is_serving(local: &watch::Receiver<Option<Arc<node::Local>>>) -> bool {
     let local = local.borrow();
     local.as_ref().is_some_and(|local| local.upstream.phase != view::Phase::Draining)
 }
 
-/// The duty while it runs.
+/// The running duty.
 struct Duty {
     ctx: context::Context,
     seal: seal::Seal,
@@ -119,8 +119,8 @@
 impl Duty {
     async fn run(mut self) {
         self.publish();
-        let (stamp, upstream) = (self.version_id(), self.upstream());
-        self.handle(member::Event::Applied(stamp)).await;
+        let (version_id, upstream) = (self.version_id(), self.upstream());
+        self.handle(member::Event::Applied(version_id)).await;
         self.handle(member::Event::Local(upstream)).await;
         while *self.wiring.stage.borrow() != node::Stage::End {
             let event = self.next().await;
@@ -131,12 +131,12 @@
 
     /// Waits for the next event.
     async fn next(&mut self) -> member::Event {
-        let rest = time::sleep(self.wake().since(self.ctx.now()));
+        let timer = time::sleep(self.wake().since(self.ctx.now()));
         let wiring = &mut self.wiring;
         tokio::select! {
             stage = wiring.stage.changed() => member::Event::Stage(match stage {
                 Ok(()) => *wiring.stage.borrow_and_update(),
-                // Whoever leads the process has ended.
+                // The sender is gone: the process ends.
                 Err(_) => node::Stage::End,
             }),
             () = changed(&mut wiring.applied) => member::Event::Applied(self.version_id()),
@@ -144,11 +144,11 @@
             hosts = self.search.next() => member::Event::Listed(hosts),
             Some(report) = wiring.quarantine.reports.recv() => member::Event::Report(report),
             received = self.socket.recv_from(&mut self.buffer) => self.read(received),
-            () = rest => member::Event::Tick,
+            () = timer => member::Event::Tick,
         }
     }
 
-    /// When to wake at the latest.
+    /// The latest time at which the next tick is due.
     fn wake(&self) -> clock::Instant {
         let wake = self.member.wake();
         let due = self.published + PUBLISH_INTERVAL;
@@ -178,8 +178,8 @@
         let standing = self.member.standing();
         for action in self.member.handle(event, self.ctx.now()) {
             match action {
-                // A full ring is counted by the ring; the next probe says the same again.
-                member::Action::VersionMismatch(heard) => drop(self.wiring.mismatches.offer(heard)),
+                // The ring counts what it drops when it is full; the next ping reports it again.
+                member::Action::VersionMismatch(peer) => drop(self.wiring.mismatches.offer(peer)),
                 member::Action::Send { to, datagram } => self.send(to, &datagram).await,
             }
         }
@@ -190,8 +190,8 @@
                 .send_replace(Arc::new(self.member.quarantine_snapshot()));
         }
         let due = self.ctx.now().since(self.published) >= PUBLISH_INTERVAL;
-        let turned = self.member.standing() != standing;
-        if turned || (due && self.member.has_changed()) {
+        let standing_changed = self.member.standing() != standing;
+        if standing_changed || (due && self.member.has_changed()) {
             self.publish();
         }
     }
@@ -221,7 +221,7 @@
     }
 }
 
-/// The datagram in `message`, if it is one of this mesh.
+/// Opens and decodes `message`; `None` when it is too long, is not of this mesh or is malformed.
 fn open(seal: &seal::Seal, message: &[u8]) -> Option<wire::Datagram> {
     if message.len() > wire::MAX_BYTES {
         return None;
@@ -229,7 +229,7 @@
     wire::decode(seal.open(message).ok()?).ok()
 }
 
-/// Waits for a new value; for ever when there will be none.
+/// Waits for a new value; never returns once the sender is gone.
 async fn changed<T>(receiver: &mut watch::Receiver<T>) {
     if receiver.changed().await.is_err() {
         future::pending().await
--- a/src/member/standing.rs
+++ b/src/member/standing.rs
@@ -1,34 +1,36 @@
-//! Life cycle of this process's own standing in the mesh.
+//! State machine of this process's own standing in the mesh.
 
 use statig::blocking::IntoStateMachineExt as _;
 use statig::prelude::*;
 
 use crate::view;
 
-/// What moves the standing.
+/// An event that may change the standing.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// The table was taken over from another host, or there is nobody to take it from.
+    /// The table was copied from another host that had joined.
     Joined,
-    /// This process did not run for a while; answers to pings from `proof` on count.
+    /// This process did not run for a while. Only an ack of a later ping confirms its standing.
     Paused {
         /// Sequence number of the first ping after the pause.
         proof: u32,
     },
-    /// Others declared this host dead; answers to pings from `proof` on count.
+    /// Others declared this host dead. Only an ack of a ping in the new incarnation confirms its
+    /// standing.
     Declared {
-        /// Sequence number of the first ping after the new incarnation.
+        /// Sequence number of the first ping in the new incarnation.
         proof: u32,
     },
-    /// A host answered the ping with this sequence number.
+    /// A host acknowledged the ping with this sequence number.
     Answered(u32),
-    /// Nobody answered for so long that nobody can say otherwise.
+    /// There is no host to join through, or nobody answered for so long that this host acts alone.
     Alone,
 }
 
-/// The machine's shared storage.
+/// Data shared by the states.
 #[derive(Debug, Default)]
 pub struct Machine {
+    /// Lowest sequence number whose ack confirms the standing.
     proof: u32,
 }
 
@@ -45,8 +47,8 @@
     #[state]
     fn member(&mut self, event: &Event) -> Outcome<State> {
         match event {
-            Event::Paused { proof } => self.doubt(*proof, State::paused()),
-            Event::Declared { proof } => self.doubt(*proof, State::refuting()),
+            Event::Paused { proof } => self.await_proof(*proof, State::paused()),
+            Event::Declared { proof } => self.await_proof(*proof, State::refuting()),
             _ => Handled,
         }
     }
@@ -56,8 +58,8 @@
         match event {
             Event::Answered(sequence) if *sequence >= self.proof => Transition(State::member()),
             Event::Alone => Transition(State::member()),
-            Event::Paused { proof } => self.doubt(*proof, State::paused()),
-            Event::Declared { proof } => self.doubt(*proof, State::refuting()),
+            Event::Paused { proof } => self.await_proof(*proof, State::paused()),
+            Event::Declared { proof } => self.await_proof(*proof, State::refuting()),
             _ => Handled,
         }
     }
@@ -67,13 +69,13 @@
         match event {
             Event::Answered(sequence) if *sequence >= self.proof => Transition(State::member()),
             Event::Paused { proof } | Event::Declared { proof } => {
-                self.doubt(*proof, State::refuting())
+                self.await_proof(*proof, State::refuting())
             }
             _ => Handled,
         }
     }
 
-    fn doubt(&mut self, proof: u32, state: State) -> Outcome<State> {
+    fn await_proof(&mut self, proof: u32, state: State) -> Outcome<State> {
         self.proof = proof;
         Transition(state)
     }
@@ -91,14 +93,14 @@
 }
 
 impl Standing {
-    /// Moves the standing; says whether it changed.
+    /// Handles `event`; returns whether the standing changed.
     pub fn handle(&mut self, event: Event) -> bool {
         let before = self.get();
         self.inner.handle(&event);
         self.get() != before
     }
 
-    /// The standing now.
+    /// The current standing.
     pub fn get(&self) -> view::Standing {
         match self.inner.state() {
             State::Joining {} => view::Standing::Joining,
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -1,8 +1,8 @@
-//! What is known of each host, and how two accounts of it are merged.
+//! The table of known hosts, and how records and claims are merged into it.
 //!
-//! Two accounts are compared by incarnation first. Within an incarnation the higher serial has the
-//! newer record and the stronger claim holds, so that merging is commutative, associative and
-//! idempotent: accounts may arrive late, twice and in any order.
+//! A higher incarnation wins. Within an incarnation the record with the higher serial and the
+//! stronger claim win, so that merging is commutative, associative and idempotent: records and
+//! claims may arrive late, twice and in any order.
 
 use std::collections;
 use std::net;
@@ -15,47 +15,48 @@
 use crate::member::wire;
 use crate::view;
 
-/// Place of a host in the order of the table: spread evenly by a hash of its address.
+/// Position of a host in the order of the table, spread evenly by a hash of its address.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Key {
     hash: u32,
     id: host::HostId,
 }
 
-/// What a host says of itself.
+/// A host's record of itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Record {
-    /// Number of its life.
+    /// Incarnation of its process.
     pub incarnation: u64,
-    /// Number of the record within the incarnation; zero while only a claim is known of it.
+    /// Serial number of the record within the incarnation; zero while no record of this incarnation
+    /// has arrived from the host itself, but only a claim or a profile of the directory.
     pub serial: u32,
-    /// Where it stands.
+    /// Its region and availability zone.
     pub locality: Arc<view::Locality>,
-    /// The upstream beside it.
+    /// The upstream beside it; `None` while there is none.
     pub upstream: Option<Arc<view::Upstream>>,
 }
 
-/// What is known of one host.
+/// The state of one host.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Entry {
-    /// Its own record.
+    /// The host's record of itself.
     ///
     /// Invariant: the pair of incarnation and serial never gets lower.
     pub record: Record,
-    /// What is claimed of this incarnation.
+    /// The strongest claim about this incarnation; `None` while the host counts as alive.
     pub claim: Option<wire::Claim>,
-    /// When `claim` was last set, or the host became known.
+    /// When `claim` was last set or, without one, when this incarnation became known.
     pub since: clock::Instant,
 }
 
-/// What a merge changed.
+/// The effect of a merge.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// Nothing: the account was not newer.
+    /// Nothing changed: the record or claim was not newer.
     Unchanged,
     /// A host that was not known.
     Joined,
-    /// A new incarnation; the claim was this one before.
+    /// A new incarnation, with the claim about the one before.
     Renewed(Option<wire::Claim>),
     /// A newer record of the same incarnation.
     Updated,
@@ -67,8 +68,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     entries: collections::BTreeMap<Key, Entry>,
+    /// Interned localities, shared by all records.
     localities: collections::BTreeSet<Arc<view::Locality>>,
+    /// Digest of the records of all present hosts.
     root: u32,
+    /// Number of entries of hosts that are dead or have left.
     gone: usize,
 }
 
@@ -86,27 +90,26 @@
 }
 
 impl Record {
-    /// Adds the record, which is that of `id`, to a datagram; says whether it fitted.
+    /// Adds the record, which is that of `id`, to a datagram; `false` when it does not fit.
     pub fn pack(&self, id: host::HostId, packer: &mut wire::Packer) -> bool {
-        let account = (self.incarnation, self.serial);
-        packer.record(id, account, &self.locality, self.upstream.as_ref())
+        packer.record(id, (self.incarnation, self.serial), &self.locality, self.upstream.as_ref())
     }
 }
 
 impl Entry {
-    /// Whether the host counts as present.
+    /// Whether the host is neither dead nor has left; a suspected host is still present.
     pub fn is_present(&self) -> bool {
         !matches!(self.claim, Some(wire::Claim::Dead | wire::Claim::Left))
     }
 }
 
 impl Table {
-    /// What is known of `id`.
+    /// The entry of `id`.
     pub fn get(&self, id: host::HostId) -> Option<&Entry> {
         self.entries.get(&Key::of(id))
     }
 
-    /// All hosts, dead ones included, in the order of their hashes.
+    /// All hosts in the order of their hashes, including those that are dead or have left.
     pub fn iter(&self) -> impl Iterator<Item = (host::HostId, &Entry)> {
         self.entries.iter().map(|(k, e)| (k.id, e))
     }
@@ -124,12 +127,12 @@
         self.starting_at(low).take_while(move |(hash, ..)| *hash <= high).map(|(_, id, e)| (id, e))
     }
 
-    /// Digest of all present hosts' records.
+    /// Digest of the records of all present hosts.
     pub fn root(&self) -> [u8; 4] {
         self.root.to_le_bytes()
     }
 
-    /// Digest of each part of a range, and the number of hosts in it.
+    /// The digest of each part of a range, with the number of present hosts in the part.
     pub fn digests(&self, prefix: wire::Prefix) -> [([u8; 4], usize); wire::FANOUT] {
         let mut parts = [(0u32, 0usize); wire::FANOUT];
         let (low, high) = bounds(prefix);
@@ -142,7 +145,7 @@
         parts.map(|(digest, count)| (digest.to_le_bytes(), count))
     }
 
-    /// How many hosts are present, this one included.
+    /// The number of present hosts, this one included.
     pub fn present(&self) -> usize {
         self.entries.len() - self.gone
     }
@@ -170,7 +173,7 @@
         change
     }
 
-    /// Merges a claim; one of a host that is not known changes nothing.
+    /// Merges a claim; a claim about an unknown host changes nothing.
     pub fn claim(
         &mut self,
         id: host::HostId,
@@ -193,7 +196,7 @@
         Change::Claimed(claim)
     }
 
-    /// Drops the hosts that were claimed dead or to have left more than `age` ago.
+    /// Removes the hosts that were declared dead or left more than `age` ago.
     pub fn forget(&mut self, age: time::Duration, now: clock::Instant) {
         self.entries.retain(|_, e| e.is_present() || now.since(e.since) <= age);
         self.gone = self.entries.values().filter(|e| !e.is_present()).count();
@@ -215,16 +218,16 @@
         self.entries.insert(key, entry);
     }
 
-    fn intern(&mut self, place: Arc<view::Locality>) -> Arc<view::Locality> {
-        if let Some(known) = self.localities.get(&place) {
+    fn intern(&mut self, locality: Arc<view::Locality>) -> Arc<view::Locality> {
+        if let Some(known) = self.localities.get(&locality) {
             return Arc::clone(known);
         }
-        self.localities.insert(Arc::clone(&place));
-        place
+        self.localities.insert(Arc::clone(&locality));
+        locality
     }
 }
 
-/// Lowest and highest hash of a range.
+/// The lowest and the highest hash of a range.
 fn bounds(prefix: wire::Prefix) -> (u32, u32) {
     let free = 32 - u32::from(prefix.bits);
     let low = u32::try_from(u64::from(prefix.index) << free).unwrap_or(u32::MAX);
@@ -232,6 +235,7 @@
     (low, low | span)
 }
 
+/// The lowest key with `hash`.
 fn lowest(hash: u32) -> Key {
     let first = net::SocketAddr::from((net::Ipv4Addr::UNSPECIFIED, 0));
     Key { hash, id: host::HostId::new(first) }
@@ -239,8 +243,8 @@
 
 fn digest(key: Key, entry: &Entry) -> u32 {
     let record = &entry.record;
-    let life = mix(u64::from(key.hash) ^ mix(record.incarnation));
-    (mix(life ^ u64::from(record.serial)) >> 32) as u32
+    let incarnation = mix(u64::from(key.hash) ^ mix(record.incarnation));
+    (mix(incarnation ^ u64::from(record.serial)) >> 32) as u32
 }
 
 /// Finaliser of splitmix64: spreads every bit over the word.
--- a/src/member/tests/mod.rs
+++ b/src/member/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the parts of the membership decision.
+//! Tests of the parts of the membership state machine.
 
 mod table;
 mod updates;
--- a/src/member/tests/table.rs
+++ b/src/member/tests/table.rs
@@ -11,10 +11,12 @@
 use crate::member::wire;
 use crate::view;
 
-/// An account of a host, as it may arrive from anyone.
+/// A claim or record, as it may arrive from any peer.
 #[derive(Clone, Debug)]
-enum Account {
+enum Update {
+    /// Number of the host, incarnation, and the claim.
     Claim(u16, u64, wire::Claim),
+    /// Number of the host, incarnation, and serial.
     Record(u16, u64, u32),
 }
 
@@ -22,9 +24,9 @@
     host::HostId::new(net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 7000 + port)))
 }
 
-/// The record that a host makes with this incarnation and serial; the same each time.
+/// The record of a host with this incarnation and serial; always the same for the same pair.
 fn record(incarnation: u64, serial: u32) -> table::Record {
-    let place = view::Locality { region: "region".into(), zone: "zone".into() };
+    let locality = view::Locality { region: "region".into(), zone: "zone".into() };
     let upstream = view::Upstream {
         service: "service".into(),
         class: "class".into(),
@@ -35,36 +37,42 @@
         version: Default::default(),
         trial: Default::default(),
     };
-    table::Record { incarnation, serial, locality: place.into(), upstream: Some(upstream.into()) }
+    table::Record {
+        incarnation,
+        serial,
+        locality: locality.into(),
+        upstream: Some(upstream.into()),
+    }
 }
 
-fn apply(table: &mut table::Table, account: &Account) {
+fn apply(table: &mut table::Table, update: &Update) {
     let now = clock::Instant::ZERO;
-    match *account {
-        Account::Claim(id, incarnation, claim) => table.claim(host(id), incarnation, claim, now),
-        Account::Record(id, incarnation, serial) => {
+    match *update {
+        Update::Claim(id, incarnation, claim) => table.claim(host(id), incarnation, claim, now),
+        Update::Record(id, incarnation, serial) => {
             table.merge(host(id), record(incarnation, serial), now)
         }
     };
 }
 
-fn account() -> impl Strategy<Value = Account> {
+fn update() -> impl Strategy<Value = Update> {
     let claim =
         prop_oneof![Just(wire::Claim::Suspect), Just(wire::Claim::Dead), Just(wire::Claim::Left),];
     prop_oneof![
-        (0u16..4, 1u64..5, claim).prop_map(|(h, i, c)| Account::Claim(h, i, c)),
-        (0u16..4, 1u64..5, 1u32..5).prop_map(|(h, i, s)| Account::Record(h, i, s)),
+        (0u16..4, 1u64..5, claim).prop_map(|(h, i, c)| Update::Claim(h, i, c)),
+        (0u16..4, 1u64..5, 1u32..5).prop_map(|(h, i, s)| Update::Record(h, i, s)),
     ]
 }
 
-/// A table that knows each host's first record.
-fn first() -> table::Table {
+/// A table with the first record of each host.
+fn first_records() -> table::Table {
     let mut table = table::Table::default();
-    (0..4).for_each(|h| apply(&mut table, &Account::Record(h, 1, 1)));
+    (0..4).for_each(|h| apply(&mut table, &Update::Record(h, 1, 1)));
     table
 }
 
-/// What a table holds of each host. The upstream counts only with a record of the incarnation.
+/// Incarnation, serial, claim and slots of each host in a table. The slots count only with a record
+/// of the incarnation.
 fn content(table: &table::Table) -> Vec<(u64, u32, Option<wire::Claim>, Option<u16>)> {
     let entries = (0..4).filter_map(|h| table.get(host(h)));
     entries
@@ -86,26 +94,28 @@
     #![proptest_config(config())]
 
     #[test]
-    fn order_and_doubling_change_nothing(
-        accounts in proptest::collection::vec(account(), 0..24),
+    fn order_and_duplicates_change_nothing(
+        updates in proptest::collection::vec(update(), 0..24),
         order in any::<u64>(),
     ) {
-        let mut shuffled: Vec<_> = accounts.iter().chain(&accounts).enumerate().collect();
+        let mut shuffled: Vec<_> = updates.iter().chain(&updates).enumerate().collect();
         shuffled.sort_by_key(|(i, _)| (*i as u64 + 1).wrapping_mul(order | 1));
-        let (mut one, mut other) = (first(), first());
-        accounts.iter().for_each(|a| apply(&mut one, a));
-        shuffled.iter().for_each(|(_, a)| apply(&mut other, a));
+        let (mut one, mut other) = (first_records(), first_records());
+        updates.iter().for_each(|u| apply(&mut one, u));
+        shuffled.iter().for_each(|(_, u)| apply(&mut other, u));
         prop_assert_eq!(content(&one), content(&other));
         prop_assert_eq!(one.root(), other.root());
         prop_assert_eq!(one.present(), other.present());
     }
 
     #[test]
-    fn nothing_goes_back(accounts in proptest::collection::vec(account(), 0..24)) {
-        let mut table = first();
+    fn incarnation_serial_and_claim_never_decrease(
+        updates in proptest::collection::vec(update(), 0..24),
+    ) {
+        let mut table = first_records();
         let mut last = content(&table);
-        for account in &accounts {
-            apply(&mut table, account);
+        for update in &updates {
+            apply(&mut table, update);
             let next = content(&table);
             for (old, new) in last.iter().zip(&next) {
                 prop_assert!((old.0, old.1) <= (new.0, new.1), "{old:?} became {new:?}");
@@ -117,11 +127,11 @@
     }
 
     #[test]
-    fn digests_cover_exactly_the_present(
-        accounts in proptest::collection::vec(account(), 0..24),
+    fn digests_cover_exactly_the_present_hosts(
+        updates in proptest::collection::vec(update(), 0..24),
     ) {
-        let mut table = first();
-        accounts.iter().for_each(|a| apply(&mut table, a));
+        let mut table = first_records();
+        updates.iter().for_each(|u| apply(&mut table, u));
         let parts = table.digests(wire::Prefix::default());
         let count: usize = parts.iter().map(|(_, count)| count).sum();
         let root = parts.iter().fold(0, |acc, (d, _)| acc ^ u32::from_le_bytes(*d));
@@ -134,10 +144,10 @@
 }
 
 #[test]
-fn forgets_only_the_dead_and_only_late() {
-    let mut table = first();
-    apply(&mut table, &Account::Claim(0, 1, wire::Claim::Dead));
-    apply(&mut table, &Account::Claim(1, 1, wire::Claim::Suspect));
+fn dead_hosts_are_removed_after_the_retention_time() {
+    let mut table = first_records();
+    apply(&mut table, &Update::Claim(0, 1, wire::Claim::Dead));
+    apply(&mut table, &Update::Claim(1, 1, wire::Claim::Suspect));
     let age = time::Duration::from_secs(10);
     table.forget(age, clock::Instant::from_millis(10_000));
     assert!(table.get(host(0)).is_some());
@@ -147,8 +157,8 @@
 }
 
 #[test]
-fn places_are_held_once() {
-    let table = first();
-    let places: Vec<_> = table.iter().map(|(_, e)| Arc::as_ptr(&e.record.locality)).collect();
-    assert!(places.iter().all(|p| *p == places[0]));
+fn localities_are_interned() {
+    let table = first_records();
+    let localities: Vec<_> = table.iter().map(|(_, e)| Arc::as_ptr(&e.record.locality)).collect();
+    assert!(localities.iter().all(|p| *p == localities[0]));
 }
--- a/src/member/tests/updates.rs
+++ b/src/member/tests/updates.rs
@@ -12,9 +12,13 @@
     updates::Topic::Record(host::HostId::new(address))
 }
 
-fn take(queue: &mut updates::Queue, rank: updates::Priority, room: usize) -> Vec<updates::Topic> {
+fn take(
+    queue: &mut updates::Queue,
+    priority: updates::Priority,
+    room: usize,
+) -> Vec<updates::Topic> {
     let mut taken = Vec::new();
-    queue.offer(rank, LIMITS, |topic| {
+    queue.offer(priority, LIMITS, |topic| {
         if taken.len() == room {
             return updates::Fit::Full;
         }
@@ -27,15 +31,18 @@
 #[rstest]
 #[case(updates::Priority::Urgent, 5)]
 #[case(updates::Priority::Plain, 3)]
-fn news_are_sent_a_bounded_number_of_times(#[case] rank: updates::Priority, #[case] times: usize) {
+fn an_update_is_sent_a_bounded_number_of_times(
+    #[case] priority: updates::Priority,
+    #[case] times: usize,
+) {
     let mut queue = updates::Queue::default();
-    queue.add(topic(1), rank, 0);
+    queue.add(topic(1), priority, 0);
     let sent = (0..20).map(|_| take(&mut queue, updates::Priority::Plain, 9).len()).sum::<usize>();
     assert_eq!(sent, times);
 }
 
 #[rstest]
-fn urgent_and_least_sent_go_first() {
+fn urgent_and_least_sent_updates_go_first() {
     let mut queue = updates::Queue::default();
     queue.add(topic(1), updates::Priority::Plain, 1);
     queue.add(topic(2), updates::Priority::Plain, 0);
@@ -45,7 +52,7 @@
 }
 
 #[rstest]
-fn newer_news_replace_older_ones() {
+fn a_newer_update_replaces_the_older_one() {
     let mut queue = updates::Queue::default();
     queue.add(topic(1), updates::Priority::Urgent, 0);
     queue.add(topic(1), updates::Priority::Plain, 0);
--- a/src/member/tests/wire.rs
+++ b/src/member/tests/wire.rs
@@ -47,7 +47,7 @@
 
 #[rstest]
 #[case::good(28, (1 << 28) - 1, true)]
-#[case::whole(0, 0, true)]
+#[case::full(0, 0, true)]
 #[case::index_too_large(4, 16, false)]
 #[case::odd_bits(3, 0, false)]
 #[case::too_narrow(32, 0, false)]
@@ -60,7 +60,7 @@
 
 #[rstest]
 #[case::excess(&[0], wire::Error::Excess)]
-fn rest_is_refused(#[case] rest: &[u8], #[case] error: wire::Error) {
+fn excess_bytes_are_refused(#[case] rest: &[u8], #[case] error: wire::Error) {
     let mut bytes = wire::encode(&datagram(wire::Body::Gossip, vec![claim(7100)])).unwrap();
     bytes.extend_from_slice(rest);
     assert_eq!(wire::decode(&bytes).err(), Some(error));
@@ -74,14 +74,14 @@
     assert!(bytes <= 30, "{bytes} bytes");
 }
 
-/// A datagram in which a claim found no room was sent without the names that its records refer to, and no
-/// host could read it.
+/// Guards against datagrams that no host can decode: a claim that did not fit removed the names to
+/// which records added before it refer.
 #[test]
-fn an_item_that_does_not_fit_leaves_the_others_whole() {
-    let place = view::Locality { region: "region".into(), zone: "zone".into() };
+fn an_item_that_does_not_fit_leaves_the_others_intact() {
+    let locality = view::Locality { region: "region".into(), zone: "zone".into() };
     let mut packer = wire::Packer::new(host(7100), wire::Body::Gossip);
     let mut records = 0;
-    while packer.record(host(7000 + records), (1, 1), &place, None) {
+    while packer.record(host(7000 + records), (1, 1), &locality, None) {
         records += 1;
     }
     while packer.claim(host(7000), 1, wire::Claim::Dead) {}
@@ -100,21 +100,26 @@
     #![proptest_config(config())]
 
     #[test]
-    fn any_bytes_are_survived(bytes in proptest::collection::vec(any::<u8>(), 0..wire::MAX_BYTES)) {
+    fn decoding_any_bytes_does_not_panic(
+        bytes in proptest::collection::vec(any::<u8>(), 0..wire::MAX_BYTES),
+    ) {
         let _ = wire::decode(&bytes);
     }
 
     #[test]
-    fn changed_datagrams_are_survived(at in any::<proptest::sample::Index>(), byte in any::<u8>()) {
-        let whole = datagram(wire::Body::Gossip, vec![claim(7100), record(0)]);
-        let mut bytes = wire::encode(&whole).unwrap();
+    fn decoding_a_changed_datagram_does_not_panic(
+        at in any::<proptest::sample::Index>(),
+        byte in any::<u8>(),
+    ) {
+        let full = datagram(wire::Body::Gossip, vec![claim(7100), record(0)]);
+        let mut bytes = wire::encode(&full).unwrap();
         let at = at.index(bytes.len());
         bytes[at] = byte;
         let _ = wire::decode(&bytes);
     }
 
     #[test]
-    fn packed_datagrams_fit_and_come_back(
+    fn packed_datagrams_fit_and_decode_to_the_same(
         names in proptest::collection::vec("[a-z]{1,40}", 1..8),
         count in 1usize..200,
     ) {
@@ -123,18 +128,18 @@
         let mut packed = 0;
         for i in 0..count {
             let name = |n: usize| names[(i + n) % names.len()].as_str().into();
-            let place = view::Locality { region: name(0), zone: name(1) };
+            let locality = view::Locality { region: name(0), zone: name(1) };
             let upstream = view::Upstream {
                 service: name(2),
                 class: name(3),
                 phase: view::Phase::Serving,
                 slots: 9,
                 connections: 130, incarnation: 0, version: Default::default(), trial: Default::default() };
-            let account = (1_700_000_000_000 + i as u64, i as u32);
+            let record_version = (1_700_000_000_000 + i as u64, i as u32);
             packed += usize::from(packer.record(
                 host(7000 + i as u16),
-                account,
-                &place,
+                record_version,
+                &locality,
                 Some(&upstream.into()),
             ));
         }
--- a/src/member/tests/zones.rs
+++ b/src/member/tests/zones.rs
@@ -19,7 +19,7 @@
 }
 
 #[rstest]
-fn silent_zone_is_dark_after_two_rounds_until_it_is_heard() {
+fn silent_zone_is_unreachable_after_two_rounds_until_it_makes_contact() {
     let zone = SmolStr::new("zone");
     let mut zones = zones::Zones::default();
     assert!(zones.check(&zone, Some(host()), at(500)));
@@ -31,19 +31,19 @@
     assert!(zones.is_unreachable(&zone));
     assert_eq!(
         zones.record_contact(&zone, at(1100)),
-        zones::Contact { dark: true, suspects: Vec::new() }
+        zones::Contact { was_unreachable: true, suspects: Vec::new() }
     );
     assert!(!zones.is_unreachable(&zone));
 }
 
 #[rstest]
-fn answer_during_a_check_leaves_the_silent_host_alone_suspect() {
+fn answer_during_a_check_makes_only_the_silent_host_suspect() {
     let zone = SmolStr::new("zone");
     let mut zones = zones::Zones::default();
     zones.check(&zone, Some(host()), at(500));
     assert_eq!(
         zones.record_contact(&zone, at(10)),
-        zones::Contact { dark: false, suspects: vec![host()] }
+        zones::Contact { was_unreachable: false, suspects: vec![host()] }
     );
     assert_eq!(zones.expire(ROUND, at(2000)), []);
     assert!(zones.contacted_since(&zone, at(10)));
--- a/src/member/updates.rs
+++ b/src/member/updates.rs
@@ -1,4 +1,4 @@
-//! News waiting to be passed on: each a bounded number of times, the least sent first.
+//! Queue of updates to gossip: each is sent a bounded number of times, the least sent first.
 
 use std::collections;
 
@@ -7,92 +7,93 @@
 use crate::host;
 use crate::quarantine;
 
-/// What a piece of news is about. Its content is read from the table when it is sent.
+/// The subject of an update. Its content is read from the state when it is sent.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Topic {
-    /// What is claimed of a host.
+    /// The claim about a host.
     Claim(host::HostId),
-    /// An availability zone that can't be reached.
+    /// An unreachable availability zone.
     Unreachable(SmolStr),
     /// A host's record.
     Record(host::HostId),
-    /// The end of an upstream.
+    /// The crash of an upstream.
     Crash(quarantine::CrashId),
-    /// What is held of a request.
+    /// The quarantine entry of a request.
     Quarantine(quarantine::Fingerprint),
 }
 
-/// How pressing a piece of news is; the first goes first.
+/// The priority of an update, highest first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Priority {
     /// Stops work from going to a host that can't run it.
     Urgent,
-    /// Suspicions and dark zones.
+    /// Suspicions and unreachable zones.
     Soon,
-    /// Everything else.
+    /// All other updates.
     Plain,
 }
 
-/// Times one host sends a piece of news.
+/// How often one host sends an update.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// For urgent news.
+    /// Sends of an urgent update.
     pub urgent: u32,
-    /// For other news.
+    /// Sends of any other update.
     pub plain: u32,
 }
 
-/// What became of a topic that was offered to a datagram.
+/// Whether a topic that was offered went into the datagram.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fit {
-    /// It is in the datagram.
+    /// It went into the datagram.
     Packed,
-    /// There was no room for it.
+    /// The datagram had no room for it.
     Full,
-    /// There is nothing to say of it any more.
+    /// The state has no content for it any more.
     Gone,
 }
 
-/// The queue of news.
+/// The queue of updates.
 ///
-/// Invariant: `order` holds exactly the pairs of `states`.
+/// Invariant: `order` contains exactly the topics of `states`, with their priority and sends.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
+    /// Priority and number of sends of each topic.
     states: collections::BTreeMap<Topic, (Priority, u32)>,
     order: collections::BTreeSet<(Priority, u32, Topic)>,
 }
 
 impl Queue {
-    /// Adds news that were sent `sent` times already; news of the same topic are replaced.
-    pub fn add(&mut self, topic: Topic, rank: Priority, sent: u32) {
+    /// Adds an update that was sent `sent` times already; it replaces one of the same topic.
+    pub fn add(&mut self, topic: Topic, priority: Priority, sent: u32) {
         self.remove(&topic);
-        self.states.insert(topic.clone(), (rank, sent));
-        self.order.insert((rank, sent, topic));
+        self.states.insert(topic.clone(), (priority, sent));
+        self.order.insert((priority, sent, topic));
     }
 
-    /// Drops the news of `topic`.
+    /// Removes the update of `topic`.
     pub fn remove(&mut self, topic: &Topic) {
-        if let Some((rank, sent)) = self.states.remove(topic) {
-            self.order.remove(&(rank, sent, topic.clone()));
+        if let Some((priority, sent)) = self.states.remove(topic) {
+            self.order.remove(&(priority, sent, topic.clone()));
         }
     }
 
-    /// Whether urgent news wait.
+    /// Whether an urgent update is queued.
     pub fn has_urgent(&self) -> bool {
-        self.order.first().is_some_and(|(rank, ..)| *rank == Priority::Urgent)
+        self.order.first().is_some_and(|(priority, ..)| *priority == Priority::Urgent)
     }
 
-    /// How many pieces of news wait.
+    /// The number of queued updates.
     pub fn count(&self) -> usize {
         self.states.len()
     }
 
-    /// Offers the topics of `rank` or more pressing ones to `pack` until one does not fit, and
-    /// drops those that were then sent as often as `limits` allows their rank.
-    pub fn offer(&mut self, rank: Priority, limits: Limits, mut pack: impl FnMut(&Topic) -> Fit) {
+    /// Offers the topics of `lowest` or a higher priority to `pack` until one does not fit, and
+    /// removes those that have then been sent as often as `limits` allows.
+    pub fn offer(&mut self, lowest: Priority, limits: Limits, mut pack: impl FnMut(&Topic) -> Fit) {
         let mut taken = Vec::new();
-        for (found, _, topic) in &self.order {
-            if *found > rank {
+        for (priority, _, topic) in &self.order {
+            if *priority > lowest {
                 break;
             }
             match pack(topic) {
@@ -102,17 +103,17 @@
             }
         }
         for (topic, gone) in taken {
-            self.tick_off(topic, gone, limits);
+            self.count_send(topic, gone, limits);
         }
     }
 
-    fn tick_off(&mut self, topic: Topic, gone: bool, limits: Limits) {
-        let Some(&(rank, sent)) = self.states.get(&topic) else { return };
-        let limit = if rank == Priority::Urgent { limits.urgent } else { limits.plain };
+    fn count_send(&mut self, topic: Topic, gone: bool, limits: Limits) {
+        let Some(&(priority, sent)) = self.states.get(&topic) else { return };
+        let limit = if priority == Priority::Urgent { limits.urgent } else { limits.plain };
         if gone || sent + 1 >= limit {
             self.remove(&topic);
         } else {
-            self.add(topic, rank, sent + 1);
+            self.add(topic, priority, sent + 1);
         }
     }
 }
--- a/src/member/wire.rs
+++ b/src/member/wire.rs
@@ -1,6 +1,7 @@
 //! Datagrams between the membership duties of two hosts.
 //!
-//! Names of places, services and classes are sent once a datagram and referred to by index.
+//! Names of regions, zones, services, classes and versions are sent once in a datagram, and its
+//! items refer to them by index.
 
 use std::sync::Arc;
 
@@ -16,71 +17,71 @@
 use crate::version;
 use crate::view;
 
-/// Largest datagram, its tag included; passes every link without fragments.
+/// Largest datagram, including its tag; it passes every link without fragmentation.
 pub const MAX_BYTES: usize = 1200;
 
-/// Children of one node of the digest tree.
+/// Children of an inner node of the digest tree.
 pub const FANOUT: usize = 16;
 
-/// What a host runs and knows, carried by every probe and answer.
+/// The configuration a host runs and the digest of its table, carried by every ping and ack.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Running {
-    /// Version it runs.
+    /// Version of the configuration.
     pub version: version::Version,
-    /// First bytes of the digest of what it runs.
+    /// First bytes of the digest of the configuration.
     pub hash: [u8; member::HASH_BYTES],
-    /// Digest of all records it knows.
+    /// Digest of the records of all hosts that it counts as present.
     pub root: [u8; 4],
 }
 
-/// A range of hosts: those whose hash begins with the `bits` lowest bits of `index`.
+/// A range of the table: the hosts whose hash begins with the `bits` lowest bits of `index`.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Prefix {
     /// Length of the prefix; at most 28, a multiple of four.
     pub bits: u8,
-    /// Value of the prefix.
+    /// The bits of the prefix.
     pub index: u32,
 }
 
-/// What a datagram is for; its items ride along with any.
+/// The purpose of a datagram; a datagram of any purpose carries items besides.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Body {
     /// Answers a ping.
     Ack {
-        /// Number of the ping.
+        /// Sequence number of the ping.
         sequence: u32,
-        /// What the answering host runs.
+        /// State of the answering host.
         running: Running,
     },
-    /// Tells the asker that its target answered the helper.
+    /// Answers a ping request: the target answered the helper.
     IndirectAck {
-        /// Number of the question.
+        /// Sequence number of the ping request.
         sequence: u32,
         /// Host that answered.
         target: host::HostId,
     },
-    /// Asks a helper to ping a host that does not answer the asker.
+    /// Asks a helper to ping a host that does not answer the sender.
     PingRequest {
-        /// Number of the question.
+        /// Sequence number of the request.
         sequence: u32,
         /// Host to ping.
         target: host::HostId,
     },
-    /// All records of a range as items.
+    /// Carries all records of a range as items.
     Bucket {
         /// The range.
         prefix: Prefix,
-        /// Whether the receiver sends back what it knows better.
+        /// Whether the receiver sends back the records of which it has newer ones.
         reply: bool,
     },
-    /// No pages to give at the moment.
+    /// Refuses a page, as the rate limit is reached.
     Busy {
-        /// A host that may have some.
+        /// Another host to ask.
         instead: Option<host::HostId>,
     },
-    /// Digests of the parts of a range.
+    /// Carries the digests of the parts of a range.
     Digest {
         /// The range.
         prefix: Prefix,
@@ -89,18 +90,18 @@
     },
     /// Carries items only.
     Gossip,
-    /// A page of the table as items, in answer to a pull.
+    /// Carries a page of the table as items, in answer to a pull.
     Page {
-        /// Where the next page begins; `None` at the end of the table.
+        /// Lowest hash of the next page; `None` at the end of the table.
         next: Option<u32>,
         /// Whether the sender has joined the mesh itself.
         settled: bool,
     },
     /// Probes a host.
     Ping {
-        /// Number of the ping.
+        /// Sequence number of the ping.
         sequence: u32,
-        /// What the asking host runs.
+        /// State of the sender.
         running: Running,
     },
     /// Asks for a page of the table.
@@ -123,9 +124,9 @@
     pub slots: u16,
     /// Connections it accepts.
     pub connections: u16,
-    /// Number of its life within that of its node.
+    /// Incarnation of the upstream, counted within the incarnation of its node.
     pub incarnation: u32,
-    /// Its version; `None` where it tells none.
+    /// Its version; `None` when it announced none.
     pub release: Option<Release>,
 }
 
@@ -134,18 +135,18 @@
 pub struct Release {
     /// Index of the version among the names.
     pub version: u8,
-    /// What its node has seen of it; `None` while it is not tried.
+    /// Report of its node on the trial of the version; `None` without a trial.
     pub trial: Option<rollout::TrialReport>,
 }
 
-/// What a host says of itself.
+/// A host's record of itself.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
     /// The host.
     pub host: host::HostId,
-    /// Number of its life.
+    /// Incarnation of its process; a restarted process has a higher one.
     pub incarnation: u64,
-    /// Number of the record within the incarnation, from one.
+    /// Serial number of the record within the incarnation, from one.
     pub serial: u32,
     /// Index of its region among the names.
     pub region: u8,
@@ -155,51 +156,51 @@
     pub upstream: Option<Upstream>,
 }
 
-/// What is claimed of a host by others, or by itself when it leaves.
+/// A claim about a host, made by others or by the host itself when it leaves.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Claim {
-    /// Did not answer; dead unless it refutes in time.
+    /// The host did not answer; it is declared dead unless it refutes this in time.
     Suspect,
-    /// Did not refute in time.
+    /// The host did not refute the suspicion in time.
     Dead,
-    /// Said that it leaves.
+    /// The host announced that it leaves.
     Left,
 }
 
-/// The end of an upstream on the wire.
+/// The crash of an upstream on the wire.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Crash {
-    /// Its name.
+    /// Identity of the crash.
     pub id: quarantine::CrashId,
-    /// Time since then, in milliseconds.
+    /// Time since the crash, in milliseconds.
     pub age_ms: u32,
-    /// What ran; at most [`quarantine::MAX_FINGERPRINTS`].
+    /// Requests that ran at the crash; at most [`quarantine::MAX_FINGERPRINTS`].
     pub fingerprints: Vec<quarantine::Fingerprint>,
 }
 
-/// What is held of a request on the wire.
+/// The quarantine entry of a request on the wire.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct QuarantineEntry {
     /// The request.
     pub fingerprint: quarantine::Fingerprint,
-    /// Upstreams that ended under it.
+    /// Number of upstreams that crashed while it ran.
     pub crashes: u8,
     /// Whether an upstream has answered it since.
     pub lifted: bool,
-    /// Time since the last of them ended, or answered it, in milliseconds.
+    /// Time since the last crash or, if `lifted`, since the answer, in milliseconds.
     pub age_ms: u32,
 }
 
-/// News that ride on a datagram.
+/// An update that a datagram carries.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Item {
-    /// Something claimed of one life of a host.
+    /// A claim about one incarnation of a host.
     Claim {
         /// The host.
         host: host::HostId,
-        /// The life it is about.
+        /// The incarnation.
         incarnation: u64,
-        /// What is claimed.
+        /// The claim.
         claim: Claim,
     },
     /// An availability zone that the sender can't reach.
@@ -209,23 +210,23 @@
     },
     /// A host's record.
     Record(Record),
-    /// The end of an upstream.
+    /// The crash of an upstream.
     Crash(Crash),
-    /// What is held of a request.
+    /// The quarantine entry of a request.
     Quarantine(QuarantineEntry),
-    /// What the sender holds of all requests.
+    /// Digest of all quarantine entries of the sender.
     Quarantines {
-        /// Digest of it.
+        /// The digest.
         digest: quarantine::Digest,
-        /// Whether a receiver that holds something else says so.
+        /// Whether a receiver whose digest differs sends it back.
         reply: bool,
     },
 }
 
 /// A datagram.
 ///
-/// Invariant: every index in `items` is below the length of `names`, and every host has room for
-/// its ports; [`decode`] checks both.
+/// Invariant: every index in `items` is below the length of `names`, and the base port of every
+/// host leaves room for its other ports; [`decode`] checks both.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Datagram {
     /// Sender.
@@ -234,47 +235,47 @@
     pub body: Body,
     /// Names that items refer to.
     pub names: Vec<SmolStr>,
-    /// News.
+    /// Updates.
     pub items: Vec<Item>,
 }
 
-/// Why bytes are not a datagram.
+/// Why bytes were not accepted as a datagram.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
     /// The bytes can't be decoded.
     #[error("the datagram can't be decoded")]
     Codec(#[from] postcard::Error),
-    /// Bytes are left over.
-    #[error("the datagram has bytes left over")]
+    /// Bytes follow the datagram.
+    #[error("the datagram is followed by excess bytes")]
     Excess,
-    /// An end names too many requests.
-    #[error("the end of an upstream names too many requests")]
+    /// A crash lists more than [`quarantine::MAX_FINGERPRINTS`] requests.
+    #[error("a crash lists too many requests")]
     Fingerprints,
-    /// An item refers to a name that is not there.
-    #[error("an item refers to a name that is not there")]
+    /// An item refers to a name that the datagram does not contain.
+    #[error("an item refers to a name that the datagram does not contain")]
     Name,
-    /// A host has no room for its ports.
-    #[error("a host's base port leaves no room for its ports")]
+    /// A host's base port is zero or leaves no room for its other ports.
+    #[error("the base port of a host is out of range")]
     Port,
-    /// A range is too narrow or its index too large for its bits.
-    #[error("a range is not one of the digest tree")]
+    /// A range is not a node of the digest tree: its bits or its index are out of range.
+    #[error("a range is not a node of the digest tree")]
     Prefix,
 }
 
-/// The bytes of `datagram`.
+/// Encodes `datagram`.
 ///
 /// # Errors
 ///
-/// Fails when the codec does; never for a datagram made here.
+/// Fails only when the codec fails, which it does for no datagram of a [`Packer`].
 pub fn encode(datagram: &Datagram) -> Result<Vec<u8>, Error> {
     Ok(postcard::to_stdvec(datagram)?)
 }
 
-/// The datagram in `bytes`.
+/// Decodes and checks the datagram in `bytes`.
 ///
 /// # Errors
 ///
-/// Fails on bytes that are not a whole datagram or break its invariant; never panics.
+/// Fails on bytes that are not a complete datagram or break its invariant; never panics.
 pub fn decode(bytes: &[u8]) -> Result<Datagram, Error> {
     let (datagram, rest) = postcard::take_from_bytes::<Datagram>(bytes)?;
     if !rest.is_empty() {
@@ -309,10 +310,10 @@
     match item {
         Item::Claim { host, .. } => check_host(*host),
         Item::Unreachable { zone } => check_name(*zone),
-        Item::Crash(end) if end.fingerprints.len() > quarantine::MAX_FINGERPRINTS => {
+        Item::Crash(crash) if crash.fingerprints.len() > quarantine::MAX_FINGERPRINTS => {
             Err(Error::Fingerprints)
         }
-        Item::Crash(end) => check_host(end.id.host),
+        Item::Crash(crash) => check_host(crash.id.host),
         Item::Quarantine(_) | Item::Quarantines { .. } => Ok(()),
         Item::Record(record) => {
             check_host(record.host)?;
@@ -328,38 +329,39 @@
 }
 
 impl Datagram {
-    /// The name at `index`; empty when there is none, which [`decode`] rules out.
+    /// The name at `index`; empty for an index out of range, which [`decode`] rules out.
     pub fn name(&self, index: u8) -> SmolStr {
         self.names.get(usize::from(index)).cloned().unwrap_or_default()
     }
 }
 
-/// Collects items for one datagram up to its size.
+/// Builds one datagram, adding items until it reaches [`MAX_BYTES`].
 #[derive(Debug)]
 pub struct Packer {
     from: host::HostId,
     body: Body,
     names: Vec<SmolStr>,
     items: Vec<Item>,
-    left: usize,
+    /// Bytes that are still free.
+    remaining: usize,
 }
 
 impl Packer {
     /// An empty packer for a datagram from `from`.
     pub fn new(from: host::HostId, body: Body) -> Self {
-        // Two bytes each hold the counts of names and items of a full datagram.
+        // The counts of names and items take up to two bytes each.
         let used = seal::TAG_BYTES + size(&from) + size(&body) + 4;
-        let left = MAX_BYTES.saturating_sub(used);
-        Self { from, body, names: Vec::new(), items: Vec::new(), left }
+        let remaining = MAX_BYTES.saturating_sub(used);
+        Self { from, body, names: Vec::new(), items: Vec::new(), remaining }
     }
 
-    /// Adds a claim; says whether it fitted.
+    /// Adds a claim; `false` when it does not fit.
     pub fn claim(&mut self, host: host::HostId, incarnation: u64, claim: Claim) -> bool {
         self.item(Item::Claim { host, incarnation, claim })
     }
 
-    /// Adds a dark zone; says whether it fitted.
-    pub fn dark(&mut self, zone: &SmolStr) -> bool {
+    /// Adds an unreachable zone; `false` when it does not fit.
+    pub fn unreachable(&mut self, zone: &SmolStr) -> bool {
         let known = self.names.len();
         match self.intern(zone) {
             Some(zone) => self.put(known, Item::Unreachable { zone }),
@@ -370,21 +372,21 @@
         }
     }
 
-    /// Adds an item that refers to no names; says whether it fitted.
+    /// Adds an item that refers to no names; `false` when it does not fit.
     pub fn item(&mut self, item: Item) -> bool {
         self.put(self.names.len(), item)
     }
 
-    /// Adds a host's record; says whether it fitted.
+    /// Adds a host's record; `false` when it does not fit.
     pub fn record(
         &mut self,
         host: host::HostId,
         (incarnation, serial): (u64, u32),
-        place: &view::Locality,
+        locality: &view::Locality,
         upstream: Option<&Arc<view::Upstream>>,
     ) -> bool {
         let known = self.names.len();
-        match self.refer(host, (incarnation, serial), place, upstream) {
+        match self.convert(host, (incarnation, serial), locality, upstream) {
             Some(item) => self.put(known, Item::Record(item)),
             None => {
                 self.names.truncate(known);
@@ -393,12 +395,12 @@
         }
     }
 
-    /// What the datagram is for.
+    /// The purpose of the datagram.
     pub const fn body(&self) -> &Body {
         &self.body
     }
 
-    /// Whether nothing was added.
+    /// Whether no item was added.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
@@ -408,15 +410,16 @@
         Datagram { from: self.from, body: self.body, names: self.names, items: self.items }
     }
 
-    fn refer(
+    /// Converts a record by adding its names; `None` when there are too many names.
+    fn convert(
         &mut self,
         host: host::HostId,
         (incarnation, serial): (u64, u32),
-        place: &view::Locality,
+        locality: &view::Locality,
         upstream: Option<&Arc<view::Upstream>>,
     ) -> Option<Record> {
-        let region = self.intern(&place.region)?;
-        let zone = self.intern(&place.zone)?;
+        let region = self.intern(&locality.region)?;
+        let zone = self.intern(&locality.zone)?;
         let upstream = match upstream {
             Some(upstream) => Some(Upstream {
                 service: self.intern(&upstream.service)?,
@@ -432,8 +435,8 @@
         Some(Record { host, incarnation, serial, region, zone, upstream })
     }
 
-    /// The version of `upstream`, if it tells one; the outer `None` says that there is no room for its
-    /// name.
+    /// Converts the version of `upstream`. The inner `None` means that it announced none, the outer
+    /// one that there are too many names.
     fn release(&mut self, upstream: &view::Upstream) -> Option<Option<Release>> {
         if upstream.version.is_empty() {
             return Some(None);
@@ -443,6 +446,7 @@
         Some(Some(Release { version, trial }))
     }
 
+    /// The index of `name`, which is added if it is new; `None` when there are too many names.
     fn intern(&mut self, name: &SmolStr) -> Option<u8> {
         let known = self.names.iter().position(|n| n == name);
         let index = known.unwrap_or_else(|| {
@@ -452,13 +456,14 @@
         u8::try_from(index).ok()
     }
 
-    /// Adds `item` with the names from `known` on, or takes those names back.
+    /// Adds `item`, for which the names from index `known` on were added; removes these names again
+    /// and returns `false` when the item does not fit.
     fn put(&mut self, known: usize, item: Item) -> bool {
-        let fresh = self.names.get(known..).unwrap_or_default();
-        let cost = size(&item) + fresh.iter().map(size).sum::<usize>();
-        let fits = cost <= self.left;
+        let new_names = self.names.get(known..).unwrap_or_default();
+        let cost = size(&item) + new_names.iter().map(size).sum::<usize>();
+        let fits = cost <= self.remaining;
         if fits {
-            self.left -= cost;
+            self.remaining -= cost;
             self.items.push(item);
         } else {
             self.names.truncate(known);
@@ -467,7 +472,7 @@
     }
 }
 
-/// Bytes `value` takes on the wire; more than any datagram when it can't be encoded.
+/// Size of `value` on the wire, in bytes; [`MAX_BYTES`], which never fits, if it can't be encoded.
 fn size<T: Serialize>(value: &T) -> usize {
     let counted = postcard::serialize_with_flavor(value, ser_flavors::Size::default());
     counted.unwrap_or(MAX_BYTES)
--- a/src/member/zones.rs
+++ b/src/member/zones.rs
@@ -1,8 +1,10 @@
-//! Availability zones that can't be reached: one fact in place of many deaths.
+//! Detection of unreachable availability zones, so that hosts of a cut-off zone are not declared
+//! dead one by one.
 //!
-//! A host that does not answer is suspected only when its zone was heard from in the meantime.
-//! Otherwise a few other hosts of the zone are checked first; when none of them answers either,
-//! the zone is dark and its hosts keep their records. Any word from the zone lifts that.
+//! A host that does not answer is suspected only when another host of its zone made contact in the
+//! meantime. Otherwise a few other hosts of the zone are probed first; when none of them answers
+//! either, the zone is unreachable and its hosts keep their records. Contact by any host of the
+//! zone ends this.
 
 use std::collections;
 use std::time;
@@ -12,77 +14,82 @@
 use crate::clock;
 use crate::host;
 
-/// Rounds of probes sent to a silent zone before it counts as dark.
-const ROUNDS: u8 = 2;
+/// Rounds of probes sent to a silent zone before it counts as unreachable.
+const MAX_ROUNDS: u8 = 2;
 
-/// A zone under check.
+/// A check of a silent zone.
 #[derive(Clone, Debug)]
 struct Check {
-    /// Hosts to suspect once the zone is heard from.
+    /// Hosts to suspect once another host of the zone makes contact.
     suspects: collections::BTreeSet<host::HostId>,
     /// Rounds of probes sent.
     rounds: u8,
-    /// End of this round.
+    /// End of the current round.
     deadline: clock::Instant,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Zone {
-    heard: Option<clock::Instant>,
-    dark: Option<clock::Instant>,
+    /// When a host of the zone last made contact.
+    contact: Option<clock::Instant>,
+    /// Since when the zone is unreachable; `None` while it is not.
+    unreachable: Option<clock::Instant>,
     check: Option<Check>,
 }
 
-/// What hearing from a zone ended.
+/// What the contact of a host of a zone ended.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Contact {
-    /// The zone was dark.
-    pub dark: bool,
+    /// Whether the zone was unreachable until now.
+    pub was_unreachable: bool,
     /// Hosts that did not answer although their zone does.
     pub suspects: Vec<host::HostId>,
 }
 
-/// What the end of a round of probes means.
+/// The outcome of a round of probes without an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// Probe some hosts of the zone again.
+    /// Some hosts of the zone are to be probed again.
     Again,
-    /// The zone is dark.
+    /// The zone is unreachable.
     Unreachable,
 }
 
-/// What is known of each availability zone.
+/// The state of all availability zones.
 #[derive(Clone, Debug, Default)]
 pub struct Zones {
     zones: collections::BTreeMap<SmolStr, Zone>,
 }
 
 impl Zones {
-    /// Notes that a host of `zone` was heard from.
+    /// Records contact by a host of `zone`.
     pub fn record_contact(&mut self, zone: &SmolStr, now: clock::Instant) -> Contact {
         let zone = self.entry(zone);
-        zone.heard = Some(now);
+        zone.contact = Some(now);
         let suspects = zone.check.take().map(|c| c.suspects.into_iter().collect());
-        Contact { dark: zone.dark.take().is_some(), suspects: suspects.unwrap_or_default() }
+        Contact {
+            was_unreachable: zone.unreachable.take().is_some(),
+            suspects: suspects.unwrap_or_default(),
+        }
     }
 
-    /// Whether `zone` was heard from at `since` or later.
+    /// Whether a host of `zone` made contact at `since` or later.
     pub fn contacted_since(&self, zone: &SmolStr, since: clock::Instant) -> bool {
-        self.zones.get(zone).and_then(|z| z.heard).is_some_and(|heard| heard >= since)
+        self.zones.get(zone).and_then(|z| z.contact).is_some_and(|contact| contact >= since)
     }
 
-    /// Whether `zone` can't be reached.
+    /// Whether `zone` is unreachable.
     pub fn is_unreachable(&self, zone: &SmolStr) -> bool {
-        self.zones.get(zone).is_some_and(|z| z.dark.is_some())
+        self.zones.get(zone).is_some_and(|z| z.unreachable.is_some())
     }
 
-    /// The dark zones, each with the instant since when it is dark.
-    pub fn dark(&self) -> impl Iterator<Item = (&SmolStr, clock::Instant)> {
-        self.zones.iter().filter_map(|(name, z)| Some((name, z.dark?)))
+    /// The unreachable zones, each with the time since when it is unreachable.
+    pub fn unreachable(&self) -> impl Iterator<Item = (&SmolStr, clock::Instant)> {
+        self.zones.iter().filter_map(|(name, z)| Some((name, z.unreachable?)))
     }
 
-    /// Begins a check of `zone`, on account of `suspect` if given; says whether it is a new one,
-    /// whose first probes are to be sent.
+    /// Checks `zone` because `suspect`, if given, did not answer. Returns whether a check began,
+    /// whose first probes are to be sent; `false` when one is under way or the zone is unreachable.
     pub fn check(
         &mut self,
         zone: &SmolStr,
@@ -90,7 +97,7 @@
         deadline: clock::Instant,
     ) -> bool {
         let zone = self.entry(zone);
-        if zone.dark.is_some() {
+        if zone.unreachable.is_some() {
             return false;
         }
         let new = zone.check.is_none();
@@ -99,7 +106,7 @@
         new
     }
 
-    /// Ends the rounds that are over at `now`; a further round takes `round`.
+    /// Ends the rounds whose deadline has passed at `now`; a further round takes `round`.
     pub fn expire(
         &mut self,
         round: time::Duration,
@@ -108,26 +115,27 @@
         let mut ended = Vec::new();
         for (name, zone) in &mut self.zones {
             let Some(check) = zone.check.as_mut().filter(|c| c.deadline <= now) else { continue };
-            if check.rounds < ROUNDS {
+            if check.rounds < MAX_ROUNDS {
                 check.rounds += 1;
                 check.deadline = now + round;
                 ended.push((name.clone(), Verdict::Again));
             } else {
                 zone.check = None;
-                zone.dark = Some(now);
+                zone.unreachable = Some(now);
                 ended.push((name.clone(), Verdict::Unreachable));
             }
         }
         ended
     }
 
-    /// When the next round ends.
+    /// When the next round ends; `None` without a check.
     pub fn wake(&self) -> Option<clock::Instant> {
         self.zones.values().filter_map(|z| Some(z.check.as_ref()?.deadline)).min()
     }
 
-    /// Gives up all checks, since this process was paused and can't blame the silence on others.
-    pub fn forgive(&mut self) {
+    /// Cancels all checks. After a pause of this process missing answers prove nothing about
+    /// others.
+    pub fn cancel_checks(&mut self) {
         self.zones.values_mut().for_each(|z| z.check = None);
     }
 
