--- a/src/host.rs
+++ b/src/host.rs
@@ -1,14 +1,14 @@
 //! Identity and addresses of a host.
 //!
-//! A node listens on six consecutive ports from its base port; the order is the same everywhere,
-//! so that one address names a host completely.
+//! A node listens on six consecutive ports, starting with its base port. Their order is fixed, so
+//! that the base address alone identifies a host and gives all its addresses.
 
 use std::fmt;
 use std::net;
 
 use serde::{Deserialize, Serialize};
 
-/// How many consecutive ports a node uses.
+/// Number of consecutive ports that a node uses.
 pub const PORT_COUNT: u16 = 6;
 
 const SPREAD_OFFSET: u16 = 1;
@@ -17,10 +17,11 @@
 const ADMIN_OFFSET: u16 = 4;
 const LEDGER_OFFSET: u16 = 5;
 
-/// A host, named by its address and base port.
+/// Identity of a host: its IP address and base port.
 ///
-/// Invariant: the base port is at most `65535 - PORT_COUNT`, checked where settings are read and where
-/// a datagram is decoded; a larger one wraps and names no reachable host.
+/// Invariant: the base port is at most `65535 - PORT_COUNT`, checked where settings are read and
+/// where a datagram is decoded. With a larger one the other ports wrap around, so that the host
+/// can't be reached.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct HostId(net::SocketAddr);
 
@@ -30,43 +31,44 @@
         Self(base)
     }
 
-    /// The host whose configuration datagrams come from `address`.
+    /// The host that sends its configuration datagrams from `address`.
     pub fn from_spread_addr(address: net::SocketAddr) -> Self {
         let port = address.port().wrapping_sub(SPREAD_OFFSET);
         Self(net::SocketAddr::new(address.ip(), port))
     }
 
-    /// Membership datagrams (UDP).
+    /// Address for membership datagrams (UDP), which is the base address.
     pub const fn member_addr(self) -> net::SocketAddr {
         self.0
     }
 
-    /// Configuration datagrams (UDP) and transfers (TCP).
+    /// Address for configuration datagrams (UDP) and transfers (TCP).
     pub fn spread_addr(self) -> net::SocketAddr {
         self.offset(SPREAD_OFFSET)
     }
 
-    /// Calls from other nodes (HTTP/2).
+    /// Address for calls from other nodes (HTTP/2).
     pub fn inner_addr(self) -> net::SocketAddr {
         self.offset(INNER_OFFSET)
     }
 
-    /// Calls from callers (HTTP/1.1).
+    /// Address for calls from callers (HTTP/1.1).
     pub fn call_addr(self) -> net::SocketAddr {
         self.offset(CALL_OFFSET)
     }
 
-    /// Metrics, health, status and announcements (HTTP/1.1).
+    /// Address for metrics, health, status and announcements (HTTP/1.1).
     pub fn admin_addr(self) -> net::SocketAddr {
         self.offset(ADMIN_OFFSET)
     }
 
-    /// Requests to the writers of claims and usage (TCP).
+    /// Address for requests to the writers of claims and usage (TCP).
     pub fn ledger_addr(self) -> net::SocketAddr {
         self.offset(LEDGER_OFFSET)
     }
 
-    /// Rendezvous weight: of some hosts those of lowest weight are due for `purpose` and `salt`.
+    /// Weight for rendezvous hashing: of a set of hosts those with the lowest weights are chosen
+    /// for `purpose` and `salt`.
     pub fn weight(self, purpose: u64, salt: u64) -> u64 {
         let mut bytes = [0; 34];
         match self.0.ip() {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,13 +1,13 @@
 //! dandelionspool distributes configuration to the proxies of a service mesh.
 //!
 //! One process, the *node*, runs beside every upstream. It is a proxy for calls, a member of the
-//! mesh and a replica of the accepted configuration. What must be agreed or kept goes through the
-//! platform's append-only log and nowhere else.
+//! mesh and a replica of the accepted configuration. Everything that nodes must agree on or keep is
+//! written to the platform's append-only log and nowhere else.
 //!
 //! # Map of the code
 //!
 //! Decisions are pure state machines: they take an event and the current [`clock::Instant`] and
-//! return actions. Sockets, clocks and threads live in the thin shells around them.
+//! return actions. Thin shells around them own the sockets, clocks and threads.
 //!
 //! | concern | decisions | shell |
 //! |---|---|---|
@@ -17,11 +17,12 @@
 //! | distribution | [`spread`] | [`spread::shell`] |
 //! | calls | [`pick`], [`admit`], [`retry`] | [`proxy`] |
 //! | versions of upstreams | [`rollout`] | [`rollout::shell`], [`proxy`] |
-//! | requests that end upstreams | [`quarantine`] | [`proxy`] |
-//! | at most once | [`claim`] | [`claim::shell`] |
+//! | requests that crash upstreams | [`quarantine`] | [`proxy`] |
+//! | calls that run at most once | [`claim`] | [`claim::shell`] |
 //! | charging and objectives | [`usage`], [`burn`] | [`admin`] |
 //!
-//! [`node`] joins the shells, each on a thread of its own, into one process. [`standin`] takes the platform's place in tests; [`mod@bench`] measures.
+//! [`node`] runs the shells in one process, each on a thread of its own. [`standin`] replaces the
+//! platform in tests, and [`mod@bench`] holds the benchmarks.
 
 #![cfg_attr(not(test), warn(clippy::expect_used, clippy::panic, clippy::unwrap_used))]
 #![warn(missing_docs)]
--- a/src/mesh/check.rs
+++ b/src/mesh/check.rs
@@ -1,12 +1,12 @@
-//! The one checked step from a configuration file to a [`mesh::Mesh`].
+//! Checks a configuration file and converts it into a [`mesh::Mesh`].
 //!
 //! The rules belong to the file's `format` number and are frozen with it: nodes of different
 //! builds read the same log and must come to the same verdict on each version. A change of any
-//! rule, even one that only accepts more, takes a new format number.
+//! rule, even one that only accepts more files, needs a new format number.
 //!
-//! 1. `text` reads JSON, and finds keys that stand twice.
-//! 2. `shape` holds the file against the schema.
-//! 3. `links` and `overlap` check what a schema can't say, also in a file with faults.
+//! 1. `text` parses JSON and finds duplicate keys.
+//! 2. `shape` validates the file against the schema.
+//! 3. `links` and `overlap` check what a schema can't express, even when the schema is violated.
 //! 4. `build` converts border types into domain types.
 
 use crate::mesh;
@@ -22,26 +22,26 @@
 #[cfg(test)]
 mod tests;
 
-/// The newest format this build knows: the one before it with orders of roll-outs.
+/// The latest format that this build knows. It adds roll-out orders to format 3.
 pub const LATEST_FORMAT: u32 = 4;
 
-/// The format without orders of roll-outs. Its rules are frozen.
+/// The format before roll-out orders. Its rules are frozen.
 pub const FORMAT_3: u32 = 3;
 
-/// The first format, which says team for organisation. Its rules are frozen.
+/// The first format, in which an organisation is called a team. Its rules are frozen.
 ///
-/// 2 was never given out: the frozen verdicts of format 1 refuse it.
+/// There is no format 2: the frozen verdicts of format 1 reject this number.
 pub const FORMAT_1: u32 = 1;
 
 /// Largest file, in bytes.
 pub const MAX_BYTES: usize = 1 << 20;
 
-/// Checks the file `body` and converts it.
+/// Checks and converts the configuration file `body`.
 ///
 /// # Errors
 ///
-/// Every fault of the file at once. The exceptions are a file that is too large, is not JSON or
-/// has another format number: its one fault hides what else may be wrong.
+/// Returns all faults of the file at once. Only for a file that is too large, is not JSON or has an
+/// unknown format number, the one fault is returned and nothing else is checked.
 pub fn check(body: &[u8]) -> Result<mesh::Mesh, fault::Faults> {
     if body.len() > MAX_BYTES {
         let problem = fault::Problem::TooLarge { bytes: body.len(), limit: MAX_BYTES };
--- a/src/mesh/check/build.rs
+++ b/src/mesh/check/build.rs
@@ -1,4 +1,4 @@
-//! Border types into domain types.
+//! Converts border types into domain types.
 
 use std::collections;
 use std::time;
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 ///
-/// Only when schema, checks and border types disagree, which tests rule out.
+/// Fails only when the schema, the checks and the border types disagree, which tests rule out.
 pub fn build(mut root: Value, format: u32) -> Result<mesh::Mesh, fault::Problem> {
     if format == check::FORMAT_1 {
         rename_teams(&mut root);
@@ -30,7 +30,7 @@
     Builder::default().build(&file)
 }
 
-/// Gives the organisations of a file of the first format the name that the border types know.
+/// Renames the teams of a file of the first format to organisations, as the border types call them.
 fn rename_teams(root: &mut Value) {
     rename(root, "teams", "organisations");
     let services = root.get_mut("services").and_then(Value::as_array_mut);
@@ -46,7 +46,7 @@
     }
 }
 
-/// The mesh so far, and the keys of its items by name.
+/// The mesh under construction, and the keys of its items by name.
 #[derive(Default)]
 struct Builder {
     mesh: mesh::Mesh,
@@ -86,7 +86,7 @@
         self.services.insert(name.clone(), key);
         self.mesh.services.push(mesh::Service {
             name,
-            organisation: look(&self.organisations, service.organisation.as_str())?,
+            organisation: look_up(&self.organisations, service.organisation.as_str())?,
             timeout: time::Duration::from_millis(service.timeout_ms.get()),
             queue: service.queue,
             retries: service.retry_percent,
@@ -123,7 +123,7 @@
         self.classes.insert(name.clone(), key);
         self.mesh.classes.push(mesh::Class {
             name,
-            service: look(&self.services, upstream.service.as_str())?,
+            service: look_up(&self.services, upstream.service.as_str())?,
             slots: upstream.slots.get(),
             connections: upstream.connections.get(),
             warmup: time::Duration::from_millis(upstream.warmup_ms),
@@ -133,10 +133,10 @@
 
     fn route(&mut self, route: &configuration::Route) -> Result<(), fault::Problem> {
         next(&self.mesh.routes)?;
-        let service = look(&self.services, route.service.as_str())?;
-        let kind = look(&self.kinds, &(service, SmolStr::new(&*route.kind)))?;
+        let service = look_up(&self.services, route.service.as_str())?;
+        let kind = look_up(&self.kinds, &(service, SmolStr::new(&*route.kind)))?;
         let class = match &route.upstream {
-            Some(name) => Some(look(&self.classes, name.as_str())?),
+            Some(name) => Some(look_up(&self.classes, name.as_str())?),
             None => None,
         };
         self.mesh.routes.push(mesh::Route {
@@ -153,7 +153,7 @@
     }
 
     fn part(&self, part: &configuration::Part) -> Result<mesh::Part, fault::Problem> {
-        let service = look(&self.services, part.service.as_str())?;
+        let service = look_up(&self.services, part.service.as_str())?;
         Ok(mesh::Part { service, weight: part.weight })
     }
 }
@@ -206,7 +206,8 @@
     })
 }
 
-fn look<K, Q, V: Copy>(keys: &collections::HashMap<K, V>, name: &Q) -> Result<V, fault::Problem>
+/// The key of the item named `name`.
+fn look_up<K, Q, V: Copy>(keys: &collections::HashMap<K, V>, name: &Q) -> Result<V, fault::Problem>
 where
     K: std::borrow::Borrow<Q> + Eq + std::hash::Hash,
     Q: Eq + std::fmt::Debug + std::hash::Hash + ?Sized,
--- a/src/mesh/check/items.rs
+++ b/src/mesh/check/items.rs
@@ -1,4 +1,4 @@
-//! The named items of a tree that may still have faults.
+//! The named items of a JSON tree that may still have faults.
 
 use std::collections;
 
@@ -7,7 +7,7 @@
 use crate::mesh::check;
 use crate::mesh::fault;
 
-/// The lists of a configuration file, as far as they can be read.
+/// The lists of a configuration file; a list that is missing or malformed is empty.
 pub struct Draft<'a> {
     /// Number of the format.
     pub format: u32,
@@ -21,12 +21,12 @@
     pub upstreams: List<'a>,
     /// Routes.
     pub routes: List<'a>,
-    /// Orders of roll-outs.
+    /// Roll-out orders.
     pub rollouts: List<'a>,
 }
 
 impl<'a> Draft<'a> {
-    /// The lists of `root`, a tree of `format`; names that stand twice are added to `faults`.
+    /// Reads the lists of `root`, a tree of `format`; duplicate names are added to `faults`.
     pub fn read(root: &'a Value, format: u32, faults: &mut Vec<fault::Fault>) -> Self {
         let services = List::read(root, "", "services", faults);
         let mut kinds = Vec::with_capacity(services.items.len());
@@ -46,13 +46,13 @@
     }
 }
 
-/// A list of named items.
+/// A list of items.
 pub struct List<'a> {
     /// Pointer to the list.
     pub pointer: String,
     /// Its items; empty when the value is not a list.
     items: &'a [Value],
-    /// Index of the first item of each name.
+    /// Index of the first item with each name; empty for items without names.
     names: collections::HashMap<&'a str, usize>,
 }
 
@@ -66,13 +66,13 @@
         list
     }
 
-    /// A list of items that have no names of their own.
+    /// Reads a list of items that have no names of their own.
     pub fn read_unnamed(parent: &'a Value, pointer: &str, field: &str) -> Self {
         let items = parent.get(field).and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
         Self { pointer: fault::join(pointer, field), items, names: collections::HashMap::new() }
     }
 
-    /// Whether it has no items.
+    /// Whether the list has no items.
     pub const fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
@@ -95,7 +95,7 @@
         self.items.iter().enumerate().map(item)
     }
 
-    /// The first item called `name`.
+    /// The first item with this name.
     pub fn named(&self, name: &str) -> Option<Item<'_, 'a>> {
         let index = *self.names.get(name)?;
         Some(Item { list: self, index, value: self.items.get(index)? })
@@ -108,7 +108,7 @@
     list: &'l List<'a>,
     /// Its index in the list.
     pub index: usize,
-    /// The item itself.
+    /// Its JSON value.
     pub value: &'a Value,
 }
 
@@ -118,12 +118,12 @@
         format!("{}/{}", self.list.pointer, self.index)
     }
 
-    /// Pointer to its field called `field`.
+    /// Pointer to its field `field`.
     pub fn field(&self, field: &str) -> String {
         fault::join(&self.pointer(), field)
     }
 
-    /// The text of its field called `field`, if it is a text.
+    /// The text in its field `field`; `None` when the field is missing or not a text.
     pub fn text(&self, field: &str) -> Option<&'a str> {
         self.value.get(field)?.as_str()
     }
--- a/src/mesh/check/links.rs
+++ b/src/mesh/check/links.rs
@@ -1,4 +1,5 @@
-//! References between items: each must lead to an item, a route's also within its own service.
+//! Checks references between items: each must name an existing item, and those of a route an item
+//! of its own service.
 
 use std::collections;
 
@@ -6,14 +7,14 @@
 use crate::mesh::check::items;
 use crate::mesh::fault;
 
-/// Adds every reference of `draft` that leads nowhere to `faults`.
+/// Adds a fault for every wrong reference of `draft` to `faults`.
 pub fn check(draft: &items::Draft<'_>, faults: &mut Vec<fault::Fault>) {
     let organisation = if draft.format == check::FORMAT_1 { "team" } else { "organisation" };
     for service in draft.services.iter() {
-        follow(&service, organisation, &draft.organisations, faults);
+        resolve(&service, organisation, &draft.organisations, faults);
     }
     for upstream in draft.upstreams.iter() {
-        follow(&upstream, "service", &draft.services, faults);
+        resolve(&upstream, "service", &draft.services, faults);
     }
     for route in draft.routes.iter() {
         check_route(draft, &route, faults);
@@ -21,7 +22,8 @@
     check_rollouts(draft, faults);
 }
 
-/// An order must name a service, each at most once, and a version; older formats know of none.
+/// Checks that each roll-out order names a version and a service, and that no service has two
+/// orders. Older formats have no orders.
 fn check_rollouts(draft: &items::Draft<'_>, faults: &mut Vec<fault::Fault>) {
     let rollouts = &draft.rollouts;
     if draft.format < check::LATEST_FORMAT {
@@ -32,7 +34,7 @@
     }
     let mut seen = collections::HashSet::new();
     for rollout in rollouts.iter() {
-        follow(&rollout, "service", &draft.services, faults);
+        resolve(&rollout, "service", &draft.services, faults);
         let mut wrong = |field: &str, reason: &str| {
             let problem = fault::Problem::WrongValue { reason: reason.to_owned() };
             faults.push(fault::Fault::new(rollout.field(field), problem));
@@ -51,18 +53,19 @@
     route: &items::Item<'_, '_>,
     faults: &mut Vec<fault::Fault>,
 ) {
-    let service = follow(route, "service", &draft.services, faults);
+    let service = resolve(route, "service", &draft.services, faults);
     if let Some(kinds) = service.and_then(|s| draft.kinds.get(s.index)) {
-        follow(route, "kind", kinds, faults);
+        resolve(route, "kind", kinds, faults);
     }
     check_split(draft, route, faults);
-    let upstream = follow(route, "upstream", &draft.upstreams, faults);
+    let upstream = resolve(route, "upstream", &draft.upstreams, faults);
     if let (Some(service), Some(upstream)) = (service, upstream) {
         check_owner(route, &service, &upstream, faults);
     }
 }
 
-/// The parts of a split route must lead to services, and one of them must have a weight.
+/// Checks that the parts of a split route name services, and that one of them has a weight above
+/// zero.
 fn check_split(
     draft: &items::Draft<'_>,
     route: &items::Item<'_, '_>,
@@ -70,17 +73,17 @@
 ) {
     let split = items::List::read_unnamed(route.value, &route.pointer(), "split");
     for part in split.iter() {
-        follow(&part, "service", &draft.services, faults);
+        resolve(&part, "service", &draft.services, faults);
     }
-    let weightless = |part: &items::Item<'_, '_>| part.value.get("weight") == Some(&0.into());
-    if !split.is_empty() && split.iter().all(|part| weightless(&part)) {
+    let has_no_weight = |part: &items::Item<'_, '_>| part.value.get("weight") == Some(&0.into());
+    if !split.is_empty() && split.iter().all(|part| has_no_weight(&part)) {
         let reason = "no part of the split has a weight".to_owned();
         let fault = fault::Fault::new(&split.pointer, fault::Problem::WrongValue { reason });
         faults.push(fault);
     }
 }
 
-/// The upstream a route names must be one of the route's own service.
+/// Checks that the upstream of a route belongs to the route's own service.
 fn check_owner(
     route: &items::Item<'_, '_>,
     service: &items::Item<'_, '_>,
@@ -98,8 +101,9 @@
     faults.push(fault::Fault::new(route.field("upstream"), problem));
 }
 
-/// The item of `list` that `field` of `item` names; a fault when there is none.
-fn follow<'l, 'a>(
+/// The item of `list` that `field` of `item` names. Adds a fault if `list` has no such item; a
+/// missing field is a matter of the schema.
+fn resolve<'l, 'a>(
     item: &items::Item<'_, '_>,
     field: &str,
     list: &'l items::List<'a>,
--- a/src/mesh/check/overlap.rs
+++ b/src/mesh/check/overlap.rs
@@ -1,4 +1,4 @@
-//! Overlap of routes: two that match the same host, path and method.
+//! Finds routes that overlap: two that match the same host, path and method.
 
 use std::collections;
 
@@ -8,19 +8,19 @@
 use crate::mesh::fault;
 use crate::mesh::find;
 
-/// What two routes must share to be able to overlap: host and path.
-type Place<'a> = (Option<&'a str>, &'a str);
+/// Host (`None` for every host) and path of a route; only routes with the same pair can overlap.
+type Target<'a> = (Option<&'a str>, &'a str);
 
-/// The methods of a route, and its index.
-type Claim = (find::Methods, usize);
+/// Methods of a route, and its index in the file.
+type Matched = (find::Methods, usize);
 
 /// Adds each route that overlaps an earlier one to `faults`.
 pub fn check(draft: &items::Draft<'_>, faults: &mut Vec<fault::Fault>) {
-    let mut seen: collections::HashMap<Place<'_>, Vec<Claim>> = collections::HashMap::new();
+    let mut seen: collections::HashMap<Target<'_>, Vec<Matched>> = collections::HashMap::new();
     for route in draft.routes.iter() {
         let (Some(path), Some(methods)) = (route.text("path"), methods(&route)) else { continue };
         let earlier = seen.entry((route.text("host"), path)).or_default();
-        if let Some((_, other)) = earlier.iter().find(|(m, _)| m.meets(methods)) {
+        if let Some((_, other)) = earlier.iter().find(|(m, _)| m.overlaps(methods)) {
             let other = format!("{}/{other}", draft.routes.pointer);
             faults.push(fault::Fault::new(route.pointer(), fault::Problem::Overlap { other }));
         }
@@ -28,7 +28,7 @@
     }
 }
 
-/// The route's methods as far as they are known; `None` when none of those given is.
+/// The known methods of a route; `None` when it lists only unknown ones.
 fn methods(route: &items::Item<'_, '_>) -> Option<find::Methods> {
     let Some(list) = route.value.get("methods").and_then(Value::as_array) else {
         return Some(find::Methods::EVERY);
--- a/src/mesh/check/shape.rs
+++ b/src/mesh/check/shape.rs
@@ -1,4 +1,4 @@
-//! A tree held against the schema of its format.
+//! Validates a JSON tree against the schema of its format.
 
 use std::sync::LazyLock;
 
@@ -8,13 +8,13 @@
 use crate::mesh::check;
 use crate::mesh::fault;
 
-const NEWEST: &str = include_str!("../../../schema/configuration.json");
+const LATEST: &str = include_str!("../../../schema/configuration.json");
 const FIRST: &str = include_str!("../../../schema/format1.json");
 
-/// A schema made ready for use, or why it can't be.
+/// A compiled schema, or the error of its compilation.
 type Validator = Result<jsonschema::Validator, String>;
 
-static NEWEST_VALIDATOR: LazyLock<Validator> = LazyLock::new(|| validator(NEWEST));
+static LATEST_VALIDATOR: LazyLock<Validator> = LazyLock::new(|| validator(LATEST));
 static FIRST_VALIDATOR: LazyLock<Validator> = LazyLock::new(|| validator(FIRST));
 
 fn validator(schema: &str) -> Validator {
@@ -24,16 +24,17 @@
 
 /// The format of a tree: [`check::LATEST_FORMAT`], [`check::FORMAT_3`] or [`check::FORMAT_1`].
 ///
-/// A missing or non-numeric format is left to a schema: the newest one where the file says
-/// organisation, else that of the first format, whose verdicts on it are frozen.
+/// A missing or non-numeric format number is left to the schema to reject: to the latest one if the
+/// file has organisations, else to that of the first format, whose verdicts on such files are
+/// frozen.
 ///
 /// # Errors
 ///
-/// A fault for any other number.
+/// Returns a fault for any other number.
 pub fn format(root: &Value) -> Result<u32, fault::Fault> {
     let Some(Value::Number(found)) = root.get("format") else {
-        let newest = root.get("organisations").is_some();
-        return Ok(if newest { check::FORMAT_3 } else { check::FORMAT_1 });
+        let latest = root.get("organisations").is_some();
+        return Ok(if latest { check::FORMAT_3 } else { check::FORMAT_1 });
     };
     let known = [check::FORMAT_1, check::FORMAT_3, check::LATEST_FORMAT];
     let format = known.into_iter().find(|&known| found.as_u64() == Some(u64::from(known)));
@@ -44,9 +45,9 @@
     })
 }
 
-/// Adds every way in which `root` breaks the schema of `format` to `faults`.
+/// Adds every violation of the schema of `format` in `root` to `faults`.
 pub fn check(root: &Value, format: u32, faults: &mut Vec<fault::Fault>) {
-    let validator = if format == check::FORMAT_1 { &*FIRST_VALIDATOR } else { &*NEWEST_VALIDATOR };
+    let validator = if format == check::FORMAT_1 { &*FIRST_VALIDATOR } else { &*LATEST_VALIDATOR };
     match validator {
         Ok(validator) => validator.iter_errors(root).for_each(|e| add(&e, faults)),
         Err(reason) => {
@@ -76,7 +77,7 @@
         Kind::Required { property } => {
             fault::Problem::MissingField { field: property.as_str().unwrap_or_default().into() }
         }
-        Kind::Type { kind } => fault::Problem::WrongType { wanted: wanted(kind) },
+        Kind::Type { kind } => fault::Problem::WrongType { wanted: type_name(kind) },
         Kind::Minimum { limit } => range(value, Bound::AtLeast, limit),
         Kind::Maximum { limit } => range(value, Bound::AtMost, limit),
         Kind::ExclusiveMinimum { limit } => range(value, Bound::MoreThan, limit),
@@ -103,7 +104,7 @@
     fault::Problem::WrongLength { bound, limit }
 }
 
-fn wanted(kind: &error::TypeKind) -> smol_str::SmolStr {
+fn type_name(kind: &error::TypeKind) -> smol_str::SmolStr {
     match kind {
         error::TypeKind::Single(kind) => smol_str::format_smolstr!("{kind}"),
         error::TypeKind::Multiple(kinds) => smol_str::format_smolstr!("{kinds:?}"),
--- a/src/mesh/check/tests.rs
+++ b/src/mesh/check/tests.rs
@@ -19,7 +19,7 @@
     json["code"].as_str().expect("a code").to_owned()
 }
 
-/// The faults of Cóndor's file with `value` put at `pointer`.
+/// The faults of Cóndor's configuration with the value at `pointer` replaced by `value`.
 fn faults_with(pointer: &str, value: Value) -> Vec<(String, String)> {
     let mut file: Value = serde_json::from_str(CONDOR).expect("an example is JSON");
     let (parent, field) = pointer.rsplit_once('/').expect("a pointer");
@@ -53,7 +53,7 @@
 #[case::wrong_type("/services/0/queue", json!("9"), &[("/services/0/queue", "wrong_type")])]
 #[case::fraction("/services/0/queue", json!(1.5), &[("/services/0/queue", "wrong_type")])]
 #[case::zero("/upstreams/0/slots", json!(0), &[("/upstreams/0/slots", "out_of_range")])]
-#[case::absurd("/services/0/timeout_ms", json!(1e12), &[("/services/0/timeout_ms", "out_of_range")])]
+#[case::too_large("/services/0/timeout_ms", json!(1e12), &[("/services/0/timeout_ms", "out_of_range")])]
 #[case::whole_share(
     "/services/0/objectives/availability",
     json!(1.0),
@@ -97,12 +97,16 @@
         ("/services/0/kinds", "wrong_length")
     ]
 )]
-fn a_fault_is_named(#[case] pointer: &str, #[case] value: Value, #[case] wanted: &[(&str, &str)]) {
+fn each_fault_is_reported_with_its_pointer(
+    #[case] pointer: &str,
+    #[case] value: Value,
+    #[case] wanted: &[(&str, &str)],
+) {
     assert_eq!(faults_with(pointer, value), expected(wanted));
 }
 
 #[test]
-fn every_fault_is_named_at_once() {
+fn all_faults_are_reported_at_once() {
     let file = json!({
         "format": 1,
         "extra": true,
@@ -132,7 +136,7 @@
 #[rstest]
 #[case::root(br#"{"format":1,"teams":[],"teams":[]}"#, "/teams")]
 #[case::nested(br#"{"format":1,"teams":[{"name":"a","name":"b"}]}"#, "/teams/0/name")]
-fn a_duplicate_key_is_named(#[case] body: &[u8], #[case] pointer: &str) {
+fn a_duplicate_key_is_reported_with_its_pointer(#[case] body: &[u8], #[case] pointer: &str) {
     assert_eq!(faults(body), expected(&[(pointer, "duplicate_key")]));
 }
 
@@ -141,7 +145,7 @@
 #[case::cut(b"{\"format\":1,\n\"teams\":[", 2, 9)]
 #[case::tail(b"{\"format\":1}\n}", 2, 1)]
 #[case::huge_number(b"{\"format\":1e999}", 1, 15)]
-fn a_file_that_is_not_json_says_where(
+fn a_file_that_is_not_json_is_rejected_with_line_and_column(
     #[case] body: &[u8],
     #[case] line: usize,
     #[case] column: usize,
@@ -154,7 +158,7 @@
 }
 
 #[test]
-fn a_file_above_the_limit_is_too_large() {
+fn a_file_above_the_limit_is_rejected() {
     let mut body = br#"{"format":1}"#.to_vec();
     body.resize(check::MAX_BYTES, b' ');
     assert_eq!(faults(&body), expected(&[]));
@@ -163,12 +167,12 @@
 }
 
 #[test]
-fn a_whole_float_counts_as_an_integer() {
+fn a_float_without_a_fraction_is_an_integer() {
     assert_eq!(faults(br#"{"format":1.0}"#), expected(&[]));
 }
 
-/// Cóndor's file in `format` with `rollouts`.
-fn ordered(format: u32, rollouts: &Value) -> Vec<u8> {
+/// The configuration of Cóndor in `format`, with `rollouts`.
+fn with_rollouts(format: u32, rollouts: &Value) -> Vec<u8> {
     let mut file: Value = serde_json::from_str(CONDOR).expect("an example is JSON");
     file["format"] = json!(format);
     file["rollouts"] = rollouts.clone();
@@ -190,17 +194,17 @@
     json!([order("catalogue", "v2"), order("catalogue", "v3")]),
     &[("/rollouts/1/service", "wrong_value")]
 )]
-fn orders_are_checked(
+fn rollout_orders_are_checked(
     #[case] format: u32,
     #[case] rollouts: Value,
     #[case] wanted: &[(&str, &str)],
 ) {
-    assert_eq!(faults(&ordered(format, &rollouts)), expected(wanted));
+    assert_eq!(faults(&with_rollouts(format, &rollouts)), expected(wanted));
 }
 
 #[test]
-fn an_order_is_kept_as_it_is_written() {
-    let mesh = check::check(&ordered(4, &json!([order("catalogue", "v2")]))).expect("sound");
+fn a_rollout_order_is_converted_unchanged() {
+    let mesh = check::check(&with_rollouts(4, &json!([order("catalogue", "v2")]))).expect("sound");
     let [rollout] = &mesh.rollouts[..] else { panic!("one order: {:?}", mesh.rollouts) };
     assert_eq!((rollout.order.number, rollout.order.version.as_str()), (7, "v2"));
     assert_eq!(rollout.order.within, std::time::Duration::from_secs(12));
--- a/src/mesh/check/text.rs
+++ b/src/mesh/check/text.rs
@@ -1,4 +1,4 @@
-//! JSON text into a tree, with a fault for each key that stands twice in an object.
+//! Parses JSON into a tree, and adds a fault for each duplicate key of an object.
 
 use std::fmt;
 
@@ -7,10 +7,10 @@
 
 use crate::mesh::fault;
 
-/// Largest whole number that a float holds exactly.
-const EXACT: f64 = 9_007_199_254_740_992.0;
+/// Limit below which a float represents every integer exactly.
+const MAX_EXACT: f64 = 9_007_199_254_740_992.0;
 
-/// Reads `body`; duplicate keys are added to `faults` and their first value is kept.
+/// Parses `body`. Of a duplicate key the first value is kept, and a fault is added to `faults`.
 pub fn read(body: &[u8], faults: &mut Vec<fault::Fault>) -> Result<Value, fault::Problem> {
     let mut reader = serde_json::Deserializer::from_slice(body);
     let mut pointer = String::new();
@@ -28,14 +28,15 @@
     }
 }
 
-/// Reads one value, which stands at `pointer`.
+/// Parses the value at `pointer`.
 struct Seed<'a> {
     pointer: &'a mut String,
     faults: &'a mut Vec<fault::Fault>,
 }
 
 impl Seed<'_> {
-    /// A seed for the child called `key`; the caller cuts the pointer back afterwards.
+    /// A seed for the child with `key`, which is appended to the pointer; the caller truncates the
+    /// pointer afterwards.
     fn child(&mut self, key: &str) -> Seed<'_> {
         fault::push(self.pointer, key);
         Seed { pointer: self.pointer, faults: self.faults }
@@ -69,10 +70,10 @@
         Ok(Value::from(value))
     }
 
-    /// A float without a fraction is an integer, as JSON Schema has it.
+    /// A float without a fraction is an integer, as in JSON Schema.
     fn visit_f64<E>(self, value: f64) -> Result<Value, E> {
-        let whole = value.fract() == 0.0 && value.abs() < EXACT;
-        Ok(if whole { Value::from(value as i64) } else { Value::from(value) })
+        let is_integer = value.fract() == 0.0 && value.abs() < MAX_EXACT;
+        Ok(if is_integer { Value::from(value as i64) } else { Value::from(value) })
     }
 
     fn visit_str<E>(self, value: &str) -> Result<Value, E> {
--- a/src/mesh/fault.rs
+++ b/src/mesh/fault.rs
@@ -1,11 +1,11 @@
-//! Faults of a configuration or settings file, each with its place and a typed problem.
+//! Faults of a configuration or settings file, each with a JSON pointer and a typed problem.
 
 use std::fmt;
 
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// What is wrong at one place of a file.
+/// What is wrong with one value of a file.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, thiserror::Error)]
 #[serde(rename_all = "snake_case", tag = "code")]
 pub enum Problem {
@@ -27,18 +27,18 @@
         /// What the parser expected.
         reason: String,
     },
-    /// The format number is not one this build knows.
+    /// The format number is not known to this build.
     #[error("format {found} is not known; this build knows format {known}")]
     WrongFormat {
         /// The number in the file.
         found: String,
-        /// The number this build knows.
+        /// The latest number that this build knows.
         known: u32,
     },
-    /// An object has the same key twice.
+    /// An object contains the same key twice.
     #[error("the key stands twice in its object")]
     DuplicateKey,
-    /// The field is not one of its object's.
+    /// The object has a field that its type does not have.
     #[error("unknown field")]
     UnknownField,
     /// A required field is missing.
@@ -47,13 +47,13 @@
         /// Name of the field.
         field: SmolStr,
     },
-    /// The value has another JSON type.
+    /// The value has the wrong JSON type.
     #[error("the value must be of type {wanted}")]
     WrongType {
-        /// Wanted JSON type.
+        /// Expected JSON type.
         wanted: SmolStr,
     },
-    /// A number is zero where it must not be, or absurdly small or large.
+    /// A number is too small or too large.
     #[error("{value} is out of range: it must be {bound} {limit}")]
     OutOfRange {
         /// The value in the file.
@@ -71,7 +71,7 @@
         /// The limit, in items or characters.
         limit: u64,
     },
-    /// A text does not have the form of its field.
+    /// A text does not match the pattern of its field.
     #[error("`{value}` does not match {pattern}")]
     WrongText {
         /// The value in the file.
@@ -79,15 +79,15 @@
         /// Regular expression that it must match.
         pattern: String,
     },
-    /// A value is not one of those its field can take.
+    /// A value is not one of the options of its field.
     #[error("{value} is not one of {options}")]
     WrongChoice {
         /// The value in the file.
         value: String,
-        /// What is allowed, as a JSON list.
+        /// The allowed values, as a JSON list.
         options: String,
     },
-    /// A list that must not repeat an item does.
+    /// A list that must not contain duplicates repeats an item.
     #[error("the list repeats an item")]
     RepeatedItem,
     /// Two items of a list have the same name.
@@ -95,7 +95,7 @@
     DuplicateName {
         /// The name.
         name: SmolStr,
-        /// Pointer to the item that has the name first.
+        /// Pointer to the first item with the name.
         first: String,
     },
     /// A reference names an item that does not exist.
@@ -106,7 +106,7 @@
         /// The name.
         name: SmolStr,
     },
-    /// A route names an upstream of another service than its own.
+    /// A route refers to an upstream of another service than its own.
     #[error("the upstream `{upstream}` belongs to the service `{service}`")]
     ForeignUpstream {
         /// Name of the upstream.
@@ -120,37 +120,37 @@
         /// Pointer to the earlier route.
         other: String,
     },
-    /// A setting's value can't be read.
+    /// A value is not valid for its field.
     #[error("{reason}")]
     WrongValue {
-        /// What the reader expected.
+        /// Why it is not valid.
         reason: String,
     },
-    /// An address that names no host, such as 0.0.0.0.
+    /// An address does not identify a host, such as 0.0.0.0.
     #[error("{address} names no host")]
     UnspecifiedAddress {
         /// The address in the file.
         address: String,
     },
-    /// A setting is too large beside another one.
+    /// A setting is too large in proportion to another one.
     #[error("{times} times this must be at most {other}, which is {limit}")]
     OutOfProportion {
-        /// How many times the value must fit.
+        /// How many times the value must fit into the other setting.
         times: u64,
         /// Pointer to the other setting.
         other: String,
         /// Value of the other setting.
         limit: u64,
     },
-    /// The file breaks the schema in another way.
+    /// The file violates the schema in another way.
     #[error("{reason}")]
     Shape {
-        /// What the schema's validator says.
+        /// Message of the schema validator.
         reason: String,
     },
 }
 
-/// Which side of a limit is allowed.
+/// Side of a limit on which values are allowed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Bound {
@@ -175,13 +175,13 @@
     }
 }
 
-/// One fault.
+/// One fault of a file.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, thiserror::Error)]
-#[error("{}: {problem}", place(.pointer))]
+#[error("{}: {problem}", display(.pointer))]
 pub struct Fault {
     /// JSON pointer (RFC 6901) to the faulty value; empty for the whole file.
     pub pointer: String,
-    /// What is wrong there.
+    /// What is wrong with the value.
     #[serde(flatten)]
     pub problem: Problem,
 }
@@ -193,20 +193,21 @@
     }
 }
 
-fn place(pointer: &str) -> &str {
+/// The `pointer` as it is displayed.
+fn display(pointer: &str) -> &str {
     if pointer.is_empty() { "whole file" } else { pointer }
 }
 
-/// Every fault of one file, in the order of their pointers.
+/// All faults of one file, in the order of their pointers.
 ///
 /// Invariant: never empty when returned as an error.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Faults(Vec<Fault>);
 
 impl Faults {
-    /// The faults of `list`, sorted by pointer with list indices as numbers.
+    /// Sorts the faults of `list` by pointer, in which list indices compare as numbers.
     pub fn new(mut list: Vec<Fault>) -> Self {
-        list.sort_by_cached_key(|f| order(&f.pointer));
+        list.sort_by_cached_key(|f| sort_key(&f.pointer));
         Self(list)
     }
 
@@ -235,12 +236,13 @@
     Field(String),
 }
 
-fn order(pointer: &str) -> Vec<Segment> {
+/// The key by which faults are sorted.
+fn sort_key(pointer: &str) -> Vec<Segment> {
     let segment = |s: &str| s.parse().map_or_else(|_| Segment::Field(s.to_owned()), Segment::Index);
     pointer.split('/').skip(1).map(segment).collect()
 }
 
-/// Appends `key` to `pointer`, escaped by the rules of RFC 6901.
+/// Appends `key` to `pointer`, escaped as RFC 6901 demands.
 pub fn push(pointer: &mut String, key: &str) {
     pointer.push('/');
     for c in key.chars() {
@@ -252,7 +254,7 @@
     }
 }
 
-/// `pointer` with `key` appended, escaped by the rules of RFC 6901.
+/// Returns `pointer` with `key` appended, escaped as RFC 6901 demands.
 pub fn join(pointer: &str, key: &str) -> String {
     let mut joined = pointer.to_owned();
     push(&mut joined, key);
--- a/src/mesh/find.rs
+++ b/src/mesh/find.rs
@@ -1,13 +1,14 @@
-//! Which route a request takes.
+//! Finds the route of a request.
 //!
-//! A request to a host that has routes of its own takes one of those if the path matches any of
-//! them, else one of the routes for every host. Of several paths that match, the longest decides;
-//! if none of its routes has the method, the request has no route: falling back to a shorter path
-//! could give a call the kind of another, and with it the right to be run twice.
+//! A request to a host that has routes of its own takes one of these if any of their paths matches,
+//! otherwise one of the routes for every host. Of several matching paths the longest is chosen. If
+//! none of its routes has the method, the request has no route: falling back to a shorter path
+//! could give a call the kind of another one, which may be allowed to run twice.
 //!
-//! For the same reason a path that an upstream may read as another one has no route: one with an
-//! empty segment, a segment of one or two dots, a backslash, a semicolon (which begins a parameter
-//! of a segment that some servers cut off), or a percent-encoded character that needs no encoding.
+//! For the same reason a path that an upstream may interpret as another path has no route: one with
+//! an empty segment, a segment of one or two dots, a backslash, a semicolon (some servers cut off
+//! the parameter of a segment that it begins), or a percent-encoded character that needs no
+//! encoding.
 
 use std::collections;
 
@@ -18,7 +19,7 @@
 #[cfg(test)]
 mod tests;
 
-/// A set of methods.
+/// A set of HTTP methods.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Methods(u8);
 
@@ -26,7 +27,7 @@
     /// Every method.
     pub const EVERY: Methods = Methods(u8::MAX);
 
-    /// The set of the methods of `list`; of every method when it is empty.
+    /// The set of the methods of `list`, or of every method if `list` is empty.
     pub fn of(list: &[http::Method]) -> Self {
         if list.is_empty() {
             return Self::EVERY;
@@ -39,13 +40,13 @@
         self.0 & bit(method) != 0
     }
 
-    /// Whether a method is in both sets.
-    pub fn meets(self, other: Methods) -> bool {
+    /// Whether any method is in both sets.
+    pub fn overlaps(self, other: Methods) -> bool {
         self.0 & other.0 != 0
     }
 }
 
-/// The method's bit; methods a route can't name share one.
+/// The bit of `method`; all methods that a route can't list share one bit.
 const fn bit(method: &http::Method) -> u8 {
     match *method {
         http::Method::DELETE => 1,
@@ -59,7 +60,7 @@
     }
 }
 
-/// Routes by host and path.
+/// Index of routes by host and path.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Index {
     /// Routes of each named host, sorted by host.
@@ -68,16 +69,16 @@
     every: Paths,
 }
 
-/// Routes of one host by path, without the slash of the root path.
+/// Routes of one host by path; the root path is the empty key.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Paths {
     routes: collections::HashMap<SmolStr, Vec<(Methods, mesh::RouteKey)>>,
     /// Length of the longest path, in bytes.
-    longest: usize,
+    max_length: usize,
 }
 
 impl Index {
-    /// An index of `routes`, at most as many as there are keys.
+    /// Builds the index of `routes`, of which there are at most as many as keys.
     pub fn new(routes: &[mesh::Route]) -> Self {
         let mut hosts: collections::BTreeMap<SmolStr, Paths> = collections::BTreeMap::new();
         let mut every = Paths::default();
@@ -90,11 +91,12 @@
         Self { hosts: hosts.into_iter().collect(), every }
     }
 
+    /// The routes of the host that a `Host` header names; `None` when it has none of its own.
     fn host(&self, header: &str) -> Option<&Paths> {
-        let name = strip(header);
+        let name = host_name(header);
         let lower = || name.bytes().map(|b| b.to_ascii_lowercase());
-        let place = self.hosts.binary_search_by(|(host, _)| host.bytes().cmp(lower())).ok()?;
-        self.hosts.get(place).map(|(_, paths)| paths)
+        let index = self.hosts.binary_search_by(|(host, _)| host.bytes().cmp(lower())).ok()?;
+        self.hosts.get(index).map(|(_, paths)| paths)
     }
 }
 
@@ -102,28 +104,28 @@
     fn add(&mut self, route: &mesh::Route, key: mesh::RouteKey) {
         let root = route.path == "/";
         let path = if root { SmolStr::default() } else { route.path.clone() };
-        self.longest = self.longest.max(path.len());
+        self.max_length = self.max_length.max(path.len());
         self.routes.entry(path).or_default().push((Methods::of(&route.methods), key));
     }
 
-    /// The routes of the longest path that `path` begins with.
-    fn longest(&self, path: &str) -> Option<&[(Methods, mesh::RouteKey)]> {
+    /// The routes of the longest path that is a prefix of `path`.
+    fn longest_match(&self, path: &str) -> Option<&[(Methods, mesh::RouteKey)]> {
         let mut end = path.len();
         loop {
             if let Some(routes) = self.get(&path[..end]) {
                 return Some(routes);
             }
             let slash = path[..end].rfind('/')?;
-            let below = (slash + 1 < end).then(|| self.get(&path[..=slash])).flatten();
-            if below.is_some() {
-                return below;
+            let trailing_slash = (slash + 1 < end).then(|| self.get(&path[..=slash])).flatten();
+            if trailing_slash.is_some() {
+                return trailing_slash;
             }
             end = slash;
         }
     }
 
     fn get(&self, path: &str) -> Option<&[(Methods, mesh::RouteKey)]> {
-        if path.len() > self.longest {
+        if path.len() > self.max_length {
             return None;
         }
         self.routes.get(path).map(Vec::as_slice)
@@ -131,9 +133,9 @@
 }
 
 impl mesh::Mesh {
-    /// The route of a request with this `Host` header, method and path without query.
+    /// Finds the route of a request with this `Host` header, method and path without query.
     ///
-    /// Allocates nothing. `None` also for a path that is not in normal form.
+    /// Does not allocate. Returns `None` when no route matches or the path is not in normal form.
     pub fn find(
         &self,
         host: Option<&str>,
@@ -143,14 +145,14 @@
         if !is_normal(path) {
             return None;
         }
-        let own = host.and_then(|h| self.index.host(h)).and_then(|p| p.longest(path));
-        let routes = own.or_else(|| self.index.every.longest(path))?;
+        let named = host.and_then(|h| self.index.host(h)).and_then(|p| p.longest_match(path));
+        let routes = named.or_else(|| self.index.every.longest_match(path))?;
         routes.iter().find(|(methods, _)| methods.has(method)).map(|(_, key)| *key)
     }
 }
 
-/// A `Host` header without port and without the dot of a full name.
-fn strip(header: &str) -> &str {
+/// The name in a `Host` header, without the port and without the trailing dot of an absolute name.
+fn host_name(header: &str) -> &str {
     let name = match header.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|b| b.is_ascii_digit()) => name,
         _ => header,
@@ -158,7 +160,7 @@
     name.strip_suffix('.').unwrap_or(name)
 }
 
-/// Whether no other spelling of `path` means the same.
+/// Whether `path` is in normal form: no server can interpret it as another path.
 fn is_normal(path: &str) -> bool {
     let Some(rest) = path.strip_prefix('/') else { return false };
     if rest.contains(['\\', ';']) || !is_encoded(rest.as_bytes()) {
@@ -170,13 +172,13 @@
     !last.is_some_and(dots) && segments.all(|s| !s.is_empty() && !dots(s))
 }
 
-/// Whether each percent sign begins the code of a character that needs one.
+/// Whether each percent sign begins the code of a character that has to be encoded.
 fn is_encoded(path: &[u8]) -> bool {
     let signs = path.iter().enumerate().filter(|(_, b)| **b == b'%');
     signs.map(|(i, _)| path.get(i + 1..i + 3)).all(|code| code.is_some_and(needs_code))
 }
 
-/// Whether the character of the two hexadecimal `digits` may stand only encoded.
+/// Whether the character with the code of two hexadecimal `digits` has to be encoded in a path.
 fn needs_code(digits: &[u8]) -> bool {
     let value = |d: u8| char::from(d).to_digit(16);
     let [Some(high), Some(low)] = [digits[0], digits[1]].map(value) else { return false };
--- a/src/mesh/find/tests.rs
+++ b/src/mesh/find/tests.rs
@@ -33,14 +33,19 @@
 #[rstest]
 #[case::root(None, "GET", "/", Some("root"))]
 #[case::prefix(None, "GET", "/books", Some("books"))]
-#[case::slash_at_end(None, "GET", "/books/", Some("books"))]
+#[case::trailing_slash(None, "GET", "/books/", Some("books"))]
 #[case::deeper(None, "GET", "/books/9/pages", Some("books"))]
 #[case::method(None, "POST", "/books", Some("books-post"))]
 #[case::longest(None, "POST", "/books/order/9", Some("order"))]
-#[case::whole_segments(None, "GET", "/bookshelf", Some("root"))]
-#[case::no_method_of_longest(None, "GET", "/books/order", None)]
+#[case::complete_segments(None, "GET", "/bookshelf", Some("root"))]
+#[case::method_not_in_longest(None, "GET", "/books/order", None)]
 #[case::extension_method(None, "BREW", "/books", None)]
-#[case::extension_method_of_every(Some("shop.example"), "BREW", "/books", Some("named"))]
+#[case::extension_method_of_route_for_every_method(
+    Some("shop.example"),
+    "BREW",
+    "/books",
+    Some("named")
+)]
 #[case::host_first(Some("shop.example"), "POST", "/books/order", Some("named"))]
 #[case::host_spelling(Some("Shop.EXAMPLE.:8080"), "GET", "/books", Some("named"))]
 #[case::host_without_the_path(Some("desk.example"), "GET", "/books", Some("books"))]
@@ -50,15 +55,15 @@
 #[case::empty(None, "GET", "", None)]
 #[case::empty_segment(None, "POST", "/books//order", None)]
 #[case::dots(None, "POST", "/books/x/../order", None)]
-#[case::dots_at_end(None, "GET", "/books/..", None)]
-#[case::needless_code(None, "POST", "/books/%6Frder", None)]
-#[case::slash_code(None, "GET", "/books%2forder", None)]
-#[case::needed_code(None, "GET", "/books/a%20b%C3%A9", Some("books"))]
-#[case::cut_code(None, "GET", "/books/a%2", None)]
-#[case::signed_code(None, "GET", "/books/%+4", None)]
+#[case::trailing_dots(None, "GET", "/books/..", None)]
+#[case::needless_encoding(None, "POST", "/books/%6Frder", None)]
+#[case::encoded_slash(None, "GET", "/books%2forder", None)]
+#[case::needed_encoding(None, "GET", "/books/a%20b%C3%A9", Some("books"))]
+#[case::truncated_encoding(None, "GET", "/books/a%2", None)]
+#[case::signed_encoding(None, "GET", "/books/%+4", None)]
 #[case::parameter(None, "GET", "/books/order;a", None)]
 #[case::backslash(None, "GET", "/books\\order", None)]
-fn a_request_takes_its_route(
+fn a_request_finds_its_route(
     #[case] host: Option<&str>,
     #[case] method: &str,
     #[case] path: &str,
--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -1,7 +1,7 @@
-//! The accepted configuration as the rest of the program uses it.
+//! The accepted configuration in the form that the rest of the program uses.
 //!
-//! A [`Mesh`] is built whole by the checked step from the border types; every key in it points at
-//! an item it has.
+//! A [`Mesh`] is built from the border types after all checks, and only as a whole; every key in it
+//! refers to an item that it contains.
 
 use std::sync::Arc;
 use std::time;
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RouteKey(pub u16);
 
-/// An organisation, charged for the calls its services serve.
+/// An organisation, which is charged for the calls that its services serve.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Organisation {
     /// Unique name.
@@ -45,13 +45,13 @@
 /// Service-level objectives of one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Objectives {
-    /// Share of calls to be served whole, above 0 and below 1.
+    /// Share of calls to be served completely, above 0 and below 1.
     pub availability: f64,
     /// A call slower than this counts against the latency objective.
     pub latency: time::Duration,
-    /// Share of served calls to be within `latency`, above 0 and below 1.
+    /// Share of the served calls that must end within `latency`, above 0 and below 1.
     pub share: f64,
-    /// Period over which the budget is counted.
+    /// Period over which the error budget is counted.
     pub window: time::Duration,
 }
 
@@ -60,15 +60,15 @@
 pub struct Service {
     /// Unique name.
     pub name: SmolStr,
-    /// Organisation that is charged.
+    /// Organisation that is charged for its calls.
     pub organisation: OrganisationKey,
-    /// Longest a call may take when the caller names no deadline.
+    /// Longest time a call may take when the caller gives no deadline.
     pub timeout: time::Duration,
-    /// Calls that may wait at each upstream's node for a slot.
+    /// Number of calls that may wait at each upstream's node for a slot.
     pub queue: u16,
-    /// Extra attempts allowed per hundred calls.
+    /// Retries allowed per hundred calls.
     pub retries: u8,
-    /// Objectives.
+    /// Service-level objectives.
     pub objectives: Objectives,
 }
 
@@ -79,19 +79,21 @@
     pub name: SmolStr,
     /// Service it belongs to.
     pub service: ServiceKey,
-    /// Worth of one call served whole; a heavier kind is admitted first.
+    /// Worth of one completely served call; a kind with a higher weight is admitted first.
     pub weight: u32,
-    /// Whether running a call twice does no harm.
+    /// Whether a call may run twice without harm.
     pub idempotent: bool,
     /// Largest request body accepted, in bytes.
     pub body: u64,
-    /// Rank among the kinds of the service; 0 is the most urgent.
+    /// Priority among the kinds of the service; 0 is the most urgent.
     pub priority: u8,
-    /// Longest a call may take; `None` leaves it to the service.
+    /// Longest time a call may take; `None` for the timeout of the service.
     pub timeout: Option<time::Duration>,
-    /// Time within which an answer has its full worth; `None` leaves it to the service's objective.
+    /// Time within which an answer has its full worth; `None` for the latency objective of the
+    /// service.
     pub latency: Option<time::Duration>,
-    /// Most upstreams one call may be sent to, at least 1; `None` leaves it to the node's settings.
+    /// Maximum number of upstreams that one call may be sent to, at least 1; `None` for the node's
+    /// setting.
     pub attempts: Option<u8>,
 }
 
@@ -100,35 +102,35 @@
 pub struct Part {
     /// Service that serves this part of the calls.
     pub service: ServiceKey,
-    /// Share of the calls, in proportion to the other parts.
+    /// Relative share of the calls, in proportion to the weights of the other parts.
     pub weight: u32,
 }
 
-/// What callers may send, and how long they may take; `None` leaves a limit to the node's settings.
+/// Limits on the requests of callers; `None` leaves a limit to the node's settings.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Limits {
     /// Largest head of a request, in bytes.
     pub head: Option<usize>,
-    /// Largest body of a request, in bytes, whatever its kind allows.
+    /// Largest body of a request, in bytes; it applies besides the limit of the kind.
     pub body: Option<u64>,
-    /// Longest a head may take to arrive.
+    /// Longest time that a head may take to arrive.
     pub arrival: Option<time::Duration>,
-    /// Longest a connection may stay idle.
+    /// Longest time that a connection may stay idle.
     pub idle: Option<time::Duration>,
 }
 
-/// A class of upstreams of one service: limits that hold for each of its upstreams.
+/// A class of upstreams of one service, with limits for each of its upstreams.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Class {
     /// Unique name.
     pub name: SmolStr,
-    /// Service its upstreams serve.
+    /// Service that its upstreams serve.
     pub service: ServiceKey,
-    /// Most calls at once, however many an upstream announces.
+    /// Maximum number of concurrent calls, even if an upstream announces more.
     pub slots: u16,
-    /// Most connections, however many an upstream announces.
+    /// Maximum number of connections, even if an upstream announces more.
     pub connections: u16,
-    /// Time over which a new upstream's share grows to its full size.
+    /// Time over which the share of calls of a new upstream grows to its full size.
     pub warmup: time::Duration,
 }
 
@@ -137,16 +139,16 @@
 pub struct Route {
     /// Unique name.
     pub name: SmolStr,
-    /// Host header it matches, without port and in lower case; `None` matches every one.
+    /// `Host` header that it matches, without port and in lower case; `None` matches every host.
     pub host: Option<SmolStr>,
-    /// Path prefix it matches, whole segments only; with a slash at its end it matches only what
-    /// lies below it.
+    /// Path prefix that it matches, by complete segments; with a trailing slash it matches only the
+    /// paths below it.
     pub path: SmolStr,
-    /// Methods it matches; empty matches every one.
+    /// Methods that it matches; empty matches every method.
     pub methods: Vec<http::Method>,
     /// Service of `kind`.
     pub service: ServiceKey,
-    /// Kind of the calls it matches.
+    /// Kind of the calls that it matches.
     pub kind: KindKey,
     /// Class whose upstreams run its calls; `None` allows every upstream of the service.
     pub class: Option<ClassKey>,
@@ -158,28 +160,29 @@
 /// An order to move a service to another version of its upstreams.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Rollout {
-    /// Name of the service: an order outlives the keys of one configuration.
+    /// Name of the service. It is not a key, as an order stays valid over several configurations,
+    /// each with keys of its own.
     pub service: SmolStr,
     /// The order.
     pub order: rollout::Order,
 }
 
 impl Rollout {
-    /// Whether `other` asks for the same.
+    /// Whether `other` orders the same for the same service.
     pub fn is_like(&self, other: &Self) -> bool {
         self.service == other.service && self.order.is_like(&other.order)
     }
 }
 
-/// A whole configuration.
+/// A complete configuration.
 ///
-/// Made by [`check::check`] alone. Invariants: every key held by an item indexes the arena of its
-/// type; the arenas are not changed afterwards.
+/// Only [`check::check`] makes one. Invariants: every key in an item is a valid index into the
+/// arena of its type; the arenas are not changed afterwards.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Mesh {
     /// Number of the file's format.
     pub format: u32,
-    /// What callers may send.
+    /// Limits on the requests of callers.
     pub limits: Limits,
     /// Arena of organisations.
     pub organisations: Vec<Organisation>,
@@ -191,9 +194,9 @@
     pub classes: Vec<Class>,
     /// Arena of routes.
     pub routes: Vec<Route>,
-    /// Orders of roll-outs, at most one for a service.
+    /// Roll-out orders, at most one for each service.
     pub rollouts: Vec<Rollout>,
-    /// `routes` by host and path.
+    /// Index of `routes` by host and path.
     index: find::Index,
 }
 
@@ -213,7 +216,7 @@
         &self.kinds[usize::from(key.0)]
     }
 
-    /// Longest a call of the kind `key` may take.
+    /// Longest time that a call of the kind `key` may take.
     pub fn timeout(&self, key: KindKey) -> time::Duration {
         let kind = self.kind(key);
         kind.timeout.unwrap_or(self.service(kind.service).timeout)
@@ -241,10 +244,10 @@
     }
 }
 
-/// The configuration a node runs, swapped whole.
+/// The configuration that a node runs; an update replaces it as a whole.
 #[derive(Clone, Debug, Default)]
 pub struct Applied {
-    /// What `mesh` was built from.
+    /// Id of the version from which `mesh` was built.
     pub version_id: version::VersionId,
     /// The configuration; empty while the version in `version_id` is [`version::Version::NONE`].
     pub mesh: Arc<Mesh>,
--- a/src/seal.rs
+++ b/src/seal.rs
@@ -1,33 +1,34 @@
-//! Keyed tags that keep strangers and nodes of other meshes out.
+//! Message authentication codes between nodes, called tags, which keep out unauthenticated peers
+//! and nodes of other meshes.
 //!
-//! A tag proves that a message was made by a holder of the mesh's key, for this mesh. It does not
-//! hide the message, and it does not stop a replay: every protocol above it is idempotent.
+//! A tag proves that a message was made for this mesh by a holder of its key. It neither encrypts
+//! the message nor prevents a replay; the protocols above it are idempotent for that reason.
 
-/// Bytes a tag takes at the front of a sealed message.
+/// Length of the tag at the front of a sealed message.
 pub const TAG_BYTES: usize = 8;
 
-/// Domain of the key derivation; changing it makes every older build a stranger.
+/// Context of the key derivation. With another one, nodes reject all messages of older builds.
 const DOMAIN: &str = "dandelionspool 2026 seal v1";
 
-/// Why a message was not opened.
+/// Why a message was rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
     /// The message is shorter than a tag.
-    #[error("the message is shorter than its tag")]
+    #[error("the message is shorter than a tag")]
     Short,
-    /// The tag was made with another key, for another mesh, or over another body.
-    #[error("the tag does not belong to this mesh and body")]
+    /// The tag was made with another key, for another mesh, or for another body.
+    #[error("the tag does not match the mesh, its key and the body")]
     Tag,
 }
 
-/// Makes and checks the tags of one mesh.
+/// Computes and verifies the tags of one mesh.
 #[derive(Clone)]
 pub struct Seal {
     key: [u8; blake3::KEY_LEN],
 }
 
 impl Seal {
-    /// The seal of the mesh called `mesh`, whose nodes share `key`.
+    /// The seal of the mesh named `mesh`, whose nodes share `key`.
     pub fn new(mesh: &str, key: &str) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key(DOMAIN);
         hasher.update(&(mesh.len() as u64).to_le_bytes());
@@ -36,7 +37,7 @@
         Self { key: *hasher.finalize().as_bytes() }
     }
 
-    /// `body` with its tag in front.
+    /// Returns `body` with its tag in front.
     pub fn seal(&self, body: &[u8]) -> Vec<u8> {
         let mut message = Vec::with_capacity(TAG_BYTES + body.len());
         message.extend_from_slice(&self.tag(body));
@@ -44,20 +45,20 @@
         message
     }
 
-    /// The body of `message`.
+    /// Verifies the tag of `message` and returns its body.
     ///
     /// # Errors
     ///
-    /// Fails when the message is too short or its tag is not this mesh's.
+    /// Fails when the message is too short or the tag is wrong.
     pub fn open<'a>(&self, message: &'a [u8]) -> Result<&'a [u8], Error> {
         let (tag, body) = message.split_at_checked(TAG_BYTES).ok_or(Error::Short)?;
-        let wanted = self.tag(body);
-        // All bytes are compared, so that the time taken tells nothing about the tag.
-        let differing = tag.iter().zip(wanted).fold(0, |acc, (a, b)| acc | (a ^ b));
+        let expected = self.tag(body);
+        // Compares in constant time, so that the time taken reveals nothing about the expected tag.
+        let differing = tag.iter().zip(expected).fold(0, |acc, (a, b)| acc | (a ^ b));
         if differing == 0 { Ok(body) } else { Err(Error::Tag) }
     }
 
-    /// A key for another use than tags, which `domain` names.
+    /// Derives a key for the use named by `domain`, separate from the key of the tags.
     pub fn derive(&self, domain: &str) -> [u8; blake3::KEY_LEN] {
         blake3::derive_key(domain, &self.key)
     }
--- a/src/seal/tests.rs
+++ b/src/seal/tests.rs
@@ -6,15 +6,15 @@
 #[rstest]
 #[case::other_mesh("meshb", "key")]
 #[case::other_key("mesh", "yek")]
-#[case::shifted_border("meshk", "ey")]
-fn stranger_is_refused(#[case] mesh: &str, #[case] key: &str) {
+#[case::shifted_boundary("meshk", "ey")]
+fn a_tag_of_another_mesh_or_key_is_rejected(#[case] mesh: &str, #[case] key: &str) {
     let ours = seal::Seal::new("mesh", "key");
     let theirs = seal::Seal::new(mesh, key);
     assert_eq!(ours.open(&theirs.seal(b"body")), Err(seal::Error::Tag));
 }
 
 #[rstest]
-fn short_message_is_refused() {
+fn a_short_message_is_rejected() {
     let ours = seal::Seal::new("mesh", "key");
     assert_eq!(ours.open(&[0; seal::TAG_BYTES - 1]), Err(seal::Error::Short));
 }
@@ -23,7 +23,7 @@
     #![proptest_config(ProptestConfig::with_cases(256))]
 
     #[test]
-    fn opens_what_it_sealed(body in proptest::collection::vec(any::<u8>(), 0..64)) {
+    fn a_sealed_message_opens_to_its_body(body in proptest::collection::vec(any::<u8>(), 0..64)) {
         let ours = seal::Seal::new("mesh", "key");
         let message = ours.seal(&body);
         prop_assert_eq!(message.len(), body.len() + seal::TAG_BYTES);
@@ -31,7 +31,7 @@
     }
 
     #[test]
-    fn any_flipped_bit_is_refused(
+    fn a_message_with_a_flipped_bit_is_rejected(
         body in proptest::collection::vec(any::<u8>(), 0..64),
         bit in any::<proptest::sample::Index>(),
     ) {
--- a/src/socket.rs
+++ b/src/socket.rs
@@ -1,31 +1,34 @@
-//! Options of the sockets that carry calls, versions and log requests.
+//! Options of the TCP sockets that carry calls, versions and log requests.
 
 use std::io;
 use std::time;
 
 use tokio::net::TcpStream;
 
-/// Quiet time after which a connection is probed. A silent peer is then noticed after
-/// `PROBE + PROBES * PROBE`, 3 s, the time for which a host counts as not in touch.
-const PROBE: time::Duration = time::Duration::from_secs(1);
+/// Idle time before the first keepalive probe and between two probes. An unreachable peer is then
+/// detected after `KEEPALIVE_INTERVAL * (1 + MAX_PROBES)`, 3 s, the time after which a host counts
+/// as out of touch.
+const KEEPALIVE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// Probes without an answer after which a connection is given up.
-const PROBES: u32 = 2;
+/// Unanswered keepalive probes after which a connection is closed.
+const MAX_PROBES: u32 = 2;
 
-/// Longest that sent bytes may stay unacknowledged, as long as the probes take.
-const UNACKNOWLEDGED: time::Duration = time::Duration::from_secs(3);
+/// Longest time that sent bytes may stay unacknowledged; as long as the keepalive probes take.
+const ACK_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 
-/// Makes `stream` send small messages at once and notice a peer that has gone silent, which
-/// without these options hangs until the kernel gives up after minutes.
+/// Makes `stream` send small messages without delay and detect an unreachable peer. Without these
+/// options a connection to such a peer hangs until the kernel gives up after minutes.
 ///
 /// # Errors
 ///
-/// An option that the kernel refuses.
+/// Fails when the kernel refuses an option.
 pub fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
-    let probes =
-        socket2::TcpKeepalive::new().with_time(PROBE).with_interval(PROBE).with_retries(PROBES);
+    let probes = socket2::TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(MAX_PROBES);
     socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    socket.set_tcp_user_timeout(Some(ACK_TIMEOUT))
 }
--- a/src/view.rs
+++ b/src/view.rs
@@ -1,4 +1,5 @@
-//! What a node knows of the mesh's hosts: an immutable snapshot made by the membership duty.
+//! The hosts of the mesh as one node sees them: an immutable snapshot, published by the membership
+//! duty.
 
 use std::collections;
 use std::sync::Arc;
@@ -9,34 +10,34 @@
 use crate::host;
 use crate::rollout;
 
-/// Where a host stands.
+/// Region and availability zone of a host.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Locality {
-    /// Region, an area whose availability zones are close to each other.
+    /// Region: an area whose availability zones are close to each other.
     pub region: SmolStr,
     /// Availability zone; its name is unique within the mesh.
     pub zone: SmolStr,
 }
 
-/// Whether a host answers.
+/// Health of a host as failure detection sees it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Health {
-    /// Answers, or nobody has found otherwise.
+    /// The host answers, or nothing is known to the contrary.
     Alive,
-    /// Did not answer a probe; may still refute.
+    /// The host did not answer a probe; it may still refute the suspicion.
     Suspect,
-    /// Declared dead, or its zone or region can't be reached from here.
+    /// The host was declared dead, or its zone can't be reached from here.
     Unreachable,
 }
 
-/// Life cycle of an upstream.
+/// Phase in the life cycle of an upstream.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Phase {
-    /// Started a moment ago; gets a growing share of calls.
+    /// The upstream has just started and gets a growing share of calls.
     Warming,
-    /// Serves.
+    /// The upstream gets its full share of calls.
     Serving,
-    /// Gets no new calls.
+    /// The upstream gets no new calls.
     Draining,
 }
 
@@ -47,48 +48,49 @@
     pub service: SmolStr,
     /// Name of its class among the configuration's `upstreams`.
     pub class: SmolStr,
-    /// Life cycle.
+    /// Phase in its life cycle.
     pub phase: Phase,
-    /// Calls it runs at once.
+    /// Number of calls it runs at once.
     pub slots: u16,
-    /// Connections it accepts.
+    /// Number of connections it accepts.
     pub connections: u16,
-    /// Number of its life within that of its node; another life knows nothing of the one before.
+    /// Incarnation of its process, counted within the incarnation of its node. A new incarnation
+    /// has no memory of the calls of the one before.
     pub incarnation: u32,
-    /// Version of its software; empty where it tells none.
+    /// Version of its software; empty when it announced none.
     #[serde(default)]
     pub version: SmolStr,
-    /// What its node has seen of it while its version was tried.
+    /// What its node observed during the trial of its version in a roll-out.
     #[serde(default)]
     pub trial: rollout::TrialReport,
 }
 
-/// One host as seen from here.
+/// One host as this node sees it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Host {
     /// Identity and addresses.
     pub id: host::HostId,
     /// Region and availability zone.
     pub locality: Arc<Locality>,
-    /// Number of this life of the host's process; a later life has a higher one.
+    /// Incarnation of the host's process; a restarted process has a higher one.
     pub incarnation: u64,
-    /// Whether it answers.
+    /// Health as failure detection sees it.
     pub health: Health,
-    /// The upstream beside it, if one has announced itself.
+    /// The upstream beside it; `None` while none has announced itself.
     pub upstream: Option<Arc<Upstream>>,
 }
 
 /// Whether this process may act as a member of the mesh.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Standing {
-    /// Known to the others, as far as this host can tell.
+    /// The process has joined, and nothing indicates that others count it as dead.
     #[default]
     Member,
-    /// Started and has not heard from anyone yet.
+    /// The process has started and has not joined yet.
     Joining,
-    /// Was paused and has not heard since what the others made of it.
+    /// The process was paused; no host has answered since, so others may have declared it dead.
     Paused,
-    /// Was declared suspect or dead; its new incarnation has not been answered yet.
+    /// Others declared the process dead; no host has answered its new incarnation yet.
     Refuting,
 }
 
@@ -96,16 +98,17 @@
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// Standing of this process. Unless it is [`Standing::Member`], this node neither reads nor
-    /// writes the log for others and admits no new work.
+    /// writes the log for others and admits no new calls.
     pub standing: Standing,
-    /// Sorted by identity, without duplicates; this host is among them.
+    /// The hosts, this one included, sorted by identity and without duplicates.
     pub hosts: Vec<Host>,
-    /// Indices into `hosts` of the hosts with an upstream of the service, whatever their health.
+    /// For each service, indices into `hosts` of the hosts with an upstream of it, whatever their
+    /// health.
     pub services: collections::HashMap<SmolStr, Vec<u32>>,
 }
 
 impl View {
-    /// A view of `hosts`, which need not be sorted.
+    /// A view of `hosts`, given in any order, by a member of the mesh.
     pub fn new(mut hosts: Vec<Host>) -> Self {
         hosts.sort_by_key(|h| h.id);
         hosts.dedup_by_key(|h| h.id);
@@ -118,13 +121,13 @@
         Self { standing: Standing::Member, hosts, services }
     }
 
-    /// The host called `id`.
+    /// The host with identity `id`.
     pub fn host(&self, id: host::HostId) -> Option<&Host> {
         let index = self.hosts.binary_search_by_key(&id, |h| h.id).ok()?;
         self.hosts.get(index)
     }
 
-    /// The hosts that have an upstream of `service`.
+    /// The hosts that have an upstream of `service`, whatever their health.
     pub fn upstreams<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a Host> + use<'a> {
         let indices = self.services.get(service).map(Vec::as_slice).unwrap_or_default();
         indices.iter().filter_map(|&i| self.hosts.get(i as usize))
