--- a/tests/check_properties/main.rs
+++ b/tests/check_properties/main.rs
@@ -1,4 +1,4 @@
-//! Properties of the check of configuration files and of the choice of a route.
+//! Property tests of the check of configuration files and of finding a route.
 
 use dandelionspool::mesh;
 use dandelionspool::mesh::check;
@@ -12,11 +12,11 @@
 
 const SCHEMA: &str = include_str!("../../schema/configuration.json");
 
-/// Codes of the faults that a schema can't name.
+/// Codes of the faults that a schema can't express.
 const REFERENCES: [&str; 4] =
     ["dangling_reference", "duplicate_name", "foreign_upstream", "overlap"];
 
-/// A fixed number of cases; the seed of a failure is printed, not kept in a file.
+/// Settings for a number of cases; the seed of a failure is printed, not written to a file.
 fn cases(cases: u32) -> ProptestConfig {
     let failure_persistence = Some(Box::new(FileFailurePersistence::Off) as _);
     ProptestConfig { cases, failure_persistence, ..ProptestConfig::default() }
@@ -30,8 +30,8 @@
     serde_json::to_value(fault).unwrap()["code"].as_str().unwrap().to_owned()
 }
 
-/// Asserts that each key in `mesh` leads to an item that belongs there.
-fn assert_whole(mesh: &mesh::Mesh) {
+/// Asserts that each key in `mesh` refers to an item of the right service.
+fn assert_consistent(mesh: &mesh::Mesh) {
     for service in &mesh.services {
         assert!(usize::from(service.organisation.0) < mesh.organisations.len());
     }
@@ -48,7 +48,7 @@
     }
 }
 
-/// Asserts that a request made for each route takes that very route.
+/// Asserts that a request with the host, method and path of a route finds this route.
 fn assert_found(mesh: &mesh::Mesh) {
     for (index, route) in mesh.routes.iter().enumerate() {
         let method = route.methods.first().unwrap_or(&http::Method::GET);
@@ -57,8 +57,8 @@
     }
 }
 
-/// Whether `pointer` leads to a value of `tree`, or to a field that its parent lacks.
-fn leads(tree: &Value, pointer: &str) -> bool {
+/// Whether `pointer` refers to a value in `tree`, or to a missing field of one.
+fn is_valid(tree: &Value, pointer: &str) -> bool {
     let parent = pointer.rsplit_once('/').map(|(parent, _)| parent);
     tree.pointer(pointer).is_some() || parent.is_some_and(|p| tree.pointer(p).is_some())
 }
@@ -67,46 +67,46 @@
     #![proptest_config(cases(2000))]
 
     #[test]
-    fn no_bytes_make_the_check_panic(body in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn checking_any_bytes_does_not_panic(body in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = check::check(&body);
     }
 
     #[test]
-    fn a_file_cut_short_is_refused(file in mutation::example(), share in 0.0..1.0f64) {
+    fn a_truncated_file_is_rejected(file in mutation::example(), share in 0.0..1.0f64) {
         let body = file.to_string();
         let cut = (body.len() as f64 * share) as usize;
         prop_assert!(check::check(&body.as_bytes()[..cut]).is_err());
     }
 
     #[test]
-    fn a_byte_changed_never_breaks_a_mesh(
+    fn a_file_with_a_changed_byte_gives_no_inconsistent_mesh(
         file in mutation::example(),
-        place in any::<prop::sample::Index>(),
+        index in any::<prop::sample::Index>(),
         byte in any::<u8>(),
     ) {
         let mut body = file.to_string().into_bytes();
-        let place = place.index(body.len());
-        body[place] = byte;
+        let index = index.index(body.len());
+        body[index] = byte;
         if let Ok(mesh) = check::check(&body) {
-            assert_whole(&mesh);
+            assert_consistent(&mesh);
         }
     }
 
     #[test]
-    fn an_accepted_file_is_whole_and_a_refused_one_says_where(
+    fn an_accepted_file_is_consistent_and_a_rejected_one_has_valid_pointers(
         (file, changes) in (mutation::example(), mutation::changes()),
     ) {
         let mut file = file;
         changes.iter().for_each(|change| change.apply(&mut file));
         match check::check(file.to_string().as_bytes()) {
             Ok(mesh) => {
-                assert_whole(&mesh);
+                assert_consistent(&mesh);
                 assert_found(&mesh);
             }
             Err(faults) => {
                 prop_assert!(!faults.list().is_empty());
                 for fault in faults.list() {
-                    prop_assert!(leads(&file, &fault.pointer), "{fault}");
+                    prop_assert!(is_valid(&file, &fault.pointer), "{fault}");
                 }
             }
         }
@@ -125,7 +125,8 @@
         let faults = check::check(file.to_string().as_bytes()).err();
         let codes: Vec<String> = faults.iter().flat_map(|f| f.list()).map(code).collect();
         if validator().is_valid(&file) {
-            // What the schema takes, the types must read: only references are left to refuse.
+            // The border types must accept what the schema accepts, so that only faults in
+            // references remain.
             prop_assert!(codes.iter().all(|c| REFERENCES.contains(&c.as_str())), "{:?}", codes);
         } else {
             prop_assert!(codes.iter().any(|c| !REFERENCES.contains(&c.as_str())), "{:?}", codes);
--- a/tests/check_properties/mutation.rs
+++ b/tests/check_properties/mutation.rs
@@ -1,4 +1,4 @@
-//! Changes of a valid file.
+//! Random changes to a valid file.
 
 use proptest::prelude::*;
 use proptest::sample;
@@ -15,16 +15,16 @@
     sample::select(EXAMPLES.to_vec()).prop_map(|file| serde_json::from_str(file).unwrap())
 }
 
-/// What is done to one place of a file.
+/// A change to one value of a file; an index selects the value among all values of the file.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// The value is replaced.
+    /// Replaces the value.
     Replace(sample::Index, Value),
-    /// The value is replaced by the one at the other place.
+    /// Replaces the value at the first index by a copy of the one at the second.
     Copy(sample::Index, sample::Index),
-    /// The field or item is taken out.
+    /// Removes the field or item.
     Remove(sample::Index),
-    /// The value is added to the list or object.
+    /// Adds a value to the list or object at the index.
     Add(sample::Index, Value),
 }
 
@@ -34,12 +34,12 @@
 }
 
 fn change() -> impl Strategy<Value = Change> {
-    let place = any::<sample::Index>;
+    let index = any::<sample::Index>;
     prop_oneof![
-        (place(), value()).prop_map(|(p, v)| Change::Replace(p, v)),
-        (place(), place()).prop_map(|(p, q)| Change::Copy(p, q)),
-        place().prop_map(Change::Remove),
-        (place(), value()).prop_map(|(p, v)| Change::Add(p, v)),
+        (index(), value()).prop_map(|(p, v)| Change::Replace(p, v)),
+        (index(), index()).prop_map(|(p, q)| Change::Copy(p, q)),
+        index().prop_map(Change::Remove),
+        (index(), value()).prop_map(|(p, v)| Change::Add(p, v)),
     ]
 }
 
@@ -55,24 +55,24 @@
 }
 
 impl Change {
-    /// Makes the change in `file`.
+    /// Applies the change to `file`.
     pub fn apply(&self, file: &mut Value) {
         let mut pointers = Vec::new();
         list(file, "", &mut pointers);
-        let at = |place: &sample::Index| pointers[place.index(pointers.len())].clone();
+        let at = |index: &sample::Index| pointers[index.index(pointers.len())].clone();
         match self {
-            Change::Replace(place, value) => set(file, &at(place), value.clone()),
-            Change::Copy(place, other) => {
+            Change::Replace(index, value) => set(file, &at(index), value.clone()),
+            Change::Copy(index, other) => {
                 let value = file.pointer(&at(other)).cloned().unwrap_or_default();
-                set(file, &at(place), value);
+                set(file, &at(index), value);
             }
-            Change::Remove(place) => remove(file, &at(place)),
-            Change::Add(place, value) => add(file, &at(place), value.clone()),
+            Change::Remove(index) => remove(file, &at(index)),
+            Change::Add(index, value) => add(file, &at(index), value.clone()),
         }
     }
 }
 
-/// Adds the pointers to every value in `value` to `pointers`.
+/// Adds the pointer to every value in `value`, which is at `pointer`, to `pointers`.
 fn list(value: &Value, pointer: &str, pointers: &mut Vec<String>) {
     pointers.push(pointer.to_owned());
     match value {
@@ -91,8 +91,8 @@
 }
 
 fn set(file: &mut Value, pointer: &str, value: Value) {
-    if let Some(place) = file.pointer_mut(pointer) {
-        *place = value;
+    if let Some(target) = file.pointer_mut(pointer) {
+        *target = value;
     }
 }
 
--- a/tests/check_properties/route.rs
+++ b/tests/check_properties/route.rs
@@ -1,4 +1,4 @@
-//! The choice of a route against a plain model.
+//! Finding a route, compared with a simple model.
 
 use dandelionspool::mesh;
 use dandelionspool::mesh::check;
@@ -25,7 +25,7 @@
     (sample::select(HOSTS.to_vec()), path(), methods)
 }
 
-/// A mesh of those of `drafts` that don't overlap an earlier one.
+/// A mesh with the routes of `drafts`, except those that overlap an earlier one.
 fn mesh(drafts: &[Draft]) -> mesh::Mesh {
     let mut file = json!({
         "format": 1,
@@ -50,7 +50,7 @@
     mesh
 }
 
-/// Whether `path` begins with the whole segments of `prefix`.
+/// Whether the segments of `path` begin with the segments of `prefix`.
 fn begins(path: &str, prefix: &str) -> bool {
     let segments = |p: &str| -> Vec<String> {
         p.split('/').filter(|s| !s.is_empty()).map(str::to_owned).collect()
@@ -58,7 +58,8 @@
     segments(path).starts_with(&segments(prefix))
 }
 
-/// The route by the rules: a named host first, then the longest path, then the method.
+/// The name of the route by the rules: the named host has priority, then the longest path decides,
+/// then the method.
 fn model<'a>(
     mesh: &'a mesh::Mesh,
     host: Option<&str>,
@@ -81,7 +82,7 @@
     #![proptest_config(cases(300))]
 
     #[test]
-    fn find_agrees_with_the_rules(
+    fn find_agrees_with_the_model(
         drafts in prop::collection::vec(draft(), 1..10),
         requests in prop::collection::vec(
             (sample::select(HOSTS.to_vec()), sample::select(METHODS.to_vec()), path()),
@@ -97,7 +98,7 @@
     }
 
     #[test]
-    fn no_request_makes_find_panic(host in ".{0,30}", path in "/?[%/.;a-z0-9ñ]{0,40}") {
+    fn finding_any_request_does_not_panic(host in ".{0,30}", path in "/?[%/.;a-z0-9ñ]{0,40}") {
         let mesh = mesh(&[(Some("a.example"), "/a".into(), vec![]), (None, "/".into(), vec![])]);
         let _ = mesh.find(Some(&host), &http::Method::GET, &path);
     }
--- a/tests/format1.rs
+++ b/tests/format1.rs
@@ -1,5 +1,5 @@
-//! Verdicts of format 1 that must never change: nodes of different builds have to agree on each
-//! version in the log. A new rule takes a new format number; no file here is ever edited.
+//! Verdicts of format 1, which must never change: nodes of different builds have to agree on each
+//! version in the log. A new rule needs a new format number; the files here are never edited.
 
 use std::fs;
 use std::path;
@@ -7,7 +7,8 @@
 use dandelionspool::mesh::check;
 use rstest::rstest;
 
-/// One line for each fault, its pointer and its code; empty for an accepted file.
+/// The verdict on `body`: one line with pointer and code for each fault; empty for an accepted
+/// file.
 fn verdict(body: &[u8]) -> String {
     let Err(faults) = check::check(body) else { return String::new() };
     let line = |fault| {
@@ -19,7 +20,7 @@
 }
 
 #[rstest]
-fn a_frozen_verdict_stands(#[files("tests/format1/*.json")] path: path::PathBuf) {
+fn a_frozen_verdict_does_not_change(#[files("tests/format1/*.json")] path: path::PathBuf) {
     let wanted = fs::read_to_string(path.with_extension("verdict")).unwrap();
     assert_eq!(verdict(&fs::read(&path).unwrap()), wanted);
 }
--- a/tests/member/cold.rs
+++ b/tests/member/cold.rs
@@ -1,4 +1,4 @@
-//! A start of all hosts at once, as after a loss of power.
+//! Start of all hosts at once, as after a power failure.
 
 use std::time;
 
@@ -12,7 +12,7 @@
 /// Hosts that start.
 const HOSTS: usize = 295;
 
-/// What the directory holds of every host, from the life before.
+/// The list in the directory, with the profile that each host registered before the restart.
 fn listed() -> Vec<directory::Listed> {
     let profile = |index| {
         let settings = net::settings(index);
@@ -26,12 +26,12 @@
     (0..HOSTS).map(listed).collect()
 }
 
-/// The hosts after they have started and looked into the directory.
+/// The hosts after they have started and received the list of the directory.
 fn started(seed: u64) -> net::Net {
     started_without(seed, &[])
 }
 
-/// The same where the hosts `gone` did not come back.
+/// The same, but the hosts `gone` did not restart.
 fn started_without(seed: u64, gone: &[usize]) -> net::Net {
     let mut mesh = net::Net::with(HOSTS, seed, |settings| {
         settings.join.clear();
@@ -45,26 +45,26 @@
     mesh
 }
 
-/// The least share of the upstreams that a host knows.
-fn known(mesh: &mut net::Net) -> f64 {
+/// The share of all upstreams known to the host that knows the fewest.
+fn min_known(mesh: &mut net::Net) -> f64 {
     let upstreams = |view: &view::View| view.hosts.iter().filter(|h| h.upstream.is_some()).count();
-    let least = mesh.views().iter().map(|(_, view)| upstreams(view)).min();
-    least.unwrap_or(0) as f64 / HOSTS as f64
+    let min = mesh.views().iter().map(|(_, view)| upstreams(view)).min();
+    min.unwrap_or(0) as f64 / HOSTS as f64
 }
 
 #[rstest]
 #[case(1)]
 #[case(2)]
-fn hosts_that_all_start_at_once_know_every_upstream_after_their_first_look(#[case] seed: u64) {
+fn hosts_that_all_start_at_once_know_every_upstream_from_the_first_list(#[case] seed: u64) {
     let mut mesh = started(seed);
     mesh.run(time::Duration::from_millis(100));
-    assert_eq!(known(&mut mesh), 1.0);
+    assert_eq!(min_known(&mut mesh), 1.0);
 }
 
 #[rstest]
 #[case(1)]
 #[case(2)]
-fn a_host_that_did_not_come_back_is_found_out(#[case] seed: u64) {
+fn a_host_that_did_not_restart_is_detected(#[case] seed: u64) {
     let mut mesh = started(seed);
     mesh.kill(7);
     let gone = |mesh: &mut net::Net| {
@@ -78,28 +78,28 @@
 #[rstest]
 #[case(1)]
 #[case(2)]
-fn what_a_host_says_goes_before_what_is_listed(#[case] seed: u64) {
+fn records_of_a_host_supersede_its_listed_profile(#[case] seed: u64) {
     let mut mesh = started(seed);
     let leaving = net::upstream(3, view::Phase::Draining);
     mesh.handle(3, member::Event::Local(Some(leaving.into())));
-    let told = |mesh: &mut net::Net| {
+    let known = |mesh: &mut net::Net| {
         let phase = |host: &Option<view::Host>| {
             let upstream = host.as_ref().and_then(|h| h.upstream.as_ref());
             upstream.is_some_and(|u| u.phase == view::Phase::Draining)
         };
         mesh.seen(3).iter().all(phase)
     };
-    let took = mesh.until(time::Duration::from_secs(2), told);
+    let took = mesh.until(time::Duration::from_secs(2), known);
     assert!(took.is_some(), "seed {seed}");
     mesh.run(time::Duration::from_secs(1));
     for index in 0..HOSTS {
         mesh.handle(index, member::Event::Listed(listed()));
     }
-    assert!(told(&mut mesh), "seed {seed}: what is listed came back");
+    assert!(known(&mut mesh), "seed {seed}: the listed profile came back");
 }
 
 #[rstest]
-fn a_host_whose_clock_went_back_outlives_what_it_listed() {
+fn a_host_whose_clock_went_back_exceeds_its_listed_incarnation() {
     let mut mesh = started(1);
     let mut before = listed();
     for listed in &mut before {
@@ -115,14 +115,14 @@
     assert_eq!(incarnation, Some(Some(u64::MAX / 2 + 1)));
 }
 
-/// What host `index` takes host `other` for.
+/// The health of host `other` as host `index` sees it.
 fn health(mesh: &mut net::Net, index: usize, other: usize) -> Option<view::Health> {
     let view = mesh.hosts[index].member.as_mut()?.view();
     view.host(net::id(other)).map(|host| host.health)
 }
 
 #[rstest]
-fn a_host_that_joins_counts_on_none_that_the_mesh_does_not_know() {
+fn a_joining_host_suspects_listed_hosts_that_the_mesh_does_not_know() {
     let mut mesh = net::Net::settled(20, 3);
     let mut settings = net::settings(20);
     settings.join.clear();
@@ -136,7 +136,7 @@
 }
 
 #[rstest]
-fn hosts_that_are_not_heard_from_come_into_doubt() {
+fn listed_hosts_without_contact_become_suspect() {
     let mut mesh = started_without(1, &[9]);
     assert_eq!(health(&mut mesh, 5, 9), Some(view::Health::Alive));
     mesh.run(time::Duration::from_millis(2100));
--- a/tests/member/cost.rs
+++ b/tests/member/cost.rs
@@ -1,4 +1,4 @@
-//! Bytes and datagrams of membership, the same on every run.
+//! Bytes and datagrams that membership sends; the same on every run.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::feed;
 use crate::net;
 
-/// Bytes a host sends in a second when nothing happens.
+/// Bytes that a host sends in a second while nothing changes.
 fn idle(count: usize) -> u64 {
     let mut net = net::Net::settled(count, 1);
     let before = net.sent();
@@ -50,7 +50,7 @@
 }
 
 #[rstest]
-fn host_among_2800_idles_as_cheaply_as_one_among_100() {
+fn idle_host_among_2800_sends_hardly_more_than_one_among_100() {
     let cost = |count: usize| {
         let mut feed = feed::Feed::new(count);
         (0..60).for_each(|_| feed.second());
@@ -64,7 +64,7 @@
 }
 
 #[rstest]
-fn change_among_2800_is_passed_on_a_bounded_number_of_times() {
+fn update_among_2800_hosts_is_sent_a_bounded_number_of_times() {
     let mut feed = feed::Feed::new(2800);
     (0..60).for_each(|_| feed.second());
     let before = feed.tally.sent;
@@ -78,7 +78,7 @@
 }
 
 #[rstest]
-fn start_of_all_hosts_at_once_ends_soon() {
+fn start_of_all_hosts_at_once_has_a_bounded_cost() {
     let count = 200;
     let mut net = net::Net::new(count, 1);
     net.run(Duration::from_secs(120));
--- a/tests/member/feed.rs
+++ b/tests/member/feed.rs
@@ -1,4 +1,4 @@
-//! One host among many, whose peers are played: what it costs, without the others' processes.
+//! One host of a large mesh with simulated peers, to find its cost without running the other hosts.
 
 use std::collections;
 use std::time;
@@ -12,18 +12,21 @@
 
 use crate::net;
 
-/// First incarnation of the played hosts.
-const FIRST: u64 = 1_700_000_000_000;
+/// First incarnation of the simulated hosts.
+const FIRST_INCARNATION: u64 = 1_700_000_000_000;
 
-/// What one host sent and received.
+/// Traffic of one host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
+    /// Bytes sent.
     pub sent: u64,
+    /// Bytes received.
     pub received: u64,
+    /// Datagrams sent.
     pub datagrams: u64,
 }
 
-/// One host with its played peers.
+/// One host with its simulated peers.
 pub struct Feed {
     pub member: member::Member,
     pub now: clock::Instant,
@@ -35,13 +38,13 @@
 }
 
 impl Feed {
-    /// A host that joined a mesh of `count` hosts, itself included.
+    /// A host that has joined a mesh of `count` hosts, itself included.
     pub fn new(count: usize) -> Self {
         let now = clock::Instant::from_millis(10);
         let mut settings = net::settings(0);
         settings.join = vec![net::id(1).member_addr()];
         let mut feed = Self {
-            member: member::Member::new(&settings, 1, FIRST, now),
+            member: member::Member::new(&settings, 1, FIRST_INCARNATION, now),
             now,
             tally: Tally::default(),
             count,
@@ -50,14 +53,14 @@
             running: wire::Running::default(),
         };
         let local = net::upstream(0, view::Phase::Serving);
-        feed.give(member::Event::Local(Some(local.into())));
+        feed.handle(member::Event::Local(Some(local.into())));
         while feed.member.present() < count {
             feed.advance(time::Duration::from_millis(100));
         }
         feed
     }
 
-    /// Lets one second pass, in which one peer pings this host.
+    /// Advances the time by one second, in which one peer pings this host.
     pub fn second(&mut self) {
         self.rounds += 1;
         let from = self.peer(self.rounds);
@@ -66,12 +69,13 @@
         self.advance(time::Duration::from_secs(1));
     }
 
-    /// Plays news of host `index` in its incarnation `life`, as `copies` peers pass them on.
-    pub fn gossip(&mut self, index: usize, life: u64, phase: view::Phase, copies: usize) {
+    /// Simulates the gossip of a record of host `index`, in the incarnation of that number after
+    /// the first, by `copies` peers.
+    pub fn gossip(&mut self, index: usize, incarnation: u64, phase: view::Phase, copies: usize) {
         for copy in 0..copies {
             let from = self.peer(index + 7 * copy);
             let mut packer = wire::Packer::new(from, wire::Body::Gossip);
-            pack(&mut packer, index, FIRST + life, phase);
+            pack(&mut packer, index, FIRST_INCARNATION + incarnation, phase);
             self.receive(packer.finish());
         }
     }
@@ -84,7 +88,7 @@
         let end = self.now + span;
         while self.member.wake() <= end {
             self.now = self.member.wake().max(self.now + time::Duration::from_micros(1));
-            self.give(member::Event::Tick);
+            self.handle(member::Event::Tick);
         }
         self.now = end;
     }
@@ -93,16 +97,16 @@
         let bytes = wire::encode(&datagram).unwrap();
         self.tally.received += (bytes.len() + seal::TAG_BYTES) as u64;
         let datagram = wire::decode(&bytes).unwrap();
-        self.give(member::Event::Datagram(Box::new(datagram)));
+        self.handle(member::Event::Datagram(Box::new(datagram)));
     }
 
-    fn give(&mut self, event: member::Event) {
+    fn handle(&mut self, event: member::Event) {
         for action in self.member.handle(event, self.now) {
             if let member::Action::Send { to, datagram } = action {
                 let bytes = wire::encode(&datagram).unwrap().len() + seal::TAG_BYTES;
                 self.tally.sent += bytes as u64;
                 self.tally.datagrams += 1;
-                self.play(to, &datagram);
+                self.answer(to, &datagram);
             }
         }
         while let Some(reply) = self.replies.pop_front() {
@@ -110,8 +114,8 @@
         }
     }
 
-    /// The answer of the played host `to`.
-    fn play(&mut self, to: host::HostId, datagram: &wire::Datagram) {
+    /// Queues the reply of the simulated host `to` to `datagram`.
+    fn answer(&mut self, to: host::HostId, datagram: &wire::Datagram) {
         match datagram.body {
             wire::Body::Ping { sequence, running } => {
                 self.running = running;
@@ -124,12 +128,12 @@
         }
     }
 
-    /// The page from host `index` on.
+    /// The page of host `from` that begins with host `index`.
     fn page(&self, from: host::HostId, index: usize) -> wire::Datagram {
         let body = wire::Body::Page { next: Some(u32::MAX), settled: true };
         let mut packer = wire::Packer::new(from, body);
         let first = index.max(1);
-        let fitted = |i: &usize| pack(&mut packer, *i, FIRST, view::Phase::Serving);
+        let fitted = |i: &usize| pack(&mut packer, *i, FIRST_INCARNATION, view::Phase::Serving);
         let packed = (first..self.count).take_while(fitted).count();
         let next = first + packed;
         let next = (next < self.count).then_some(next as u32);
@@ -139,10 +143,10 @@
     }
 }
 
-fn pack(packer: &mut wire::Packer, index: usize, life: u64, phase: view::Phase) -> bool {
+fn pack(packer: &mut wire::Packer, index: usize, incarnation: u64, phase: view::Phase) -> bool {
     let (region, zone) = net::ZONES[index % net::ZONES.len()];
-    let place = view::Locality { region: region.into(), zone: zone.into() };
+    let locality = view::Locality { region: region.into(), zone: zone.into() };
     let upstream = net::upstream(index, phase).into();
     let serial = 1 + phase as u32;
-    packer.record(net::id(index), (life, serial), &place, Some(&upstream))
+    packer.record(net::id(index), (incarnation, serial), &locality, Some(&upstream))
 }
--- a/tests/member/main.rs
+++ b/tests/member/main.rs
@@ -1,4 +1,4 @@
-//! Membership in virtual time: the same verdict on every run.
+//! Tests of membership in virtual time, which are deterministic.
 
 mod cold;
 mod cost;
--- a/tests/member/net.rs
+++ b/tests/member/net.rs
@@ -1,4 +1,4 @@
-//! An in-memory network in virtual time, with the faults of UDP.
+//! Simulated network of hosts in virtual time, with the faults of UDP.
 
 use std::cmp;
 use std::collections;
@@ -16,21 +16,23 @@
 use rand::SeedableRng as _;
 use rand::rngs;
 
-/// Wall clock at the start of virtual time, in milliseconds.
-const EPOCH: u64 = 1_700_000_000_000;
+/// Wall-clock time at the start of virtual time, in milliseconds.
+const EPOCH_MS: u64 = 1_700_000_000_000;
 
-/// Zones of the mesh, and the region of each.
+/// The zones of the mesh, each as a pair of region and zone.
 pub const ZONES: [(&str, &str); 4] =
     [("north", "north-a"), ("north", "north-b"), ("north", "north-c"), ("south", "south-a")];
 
-/// What a datagram meets.
+/// Faults of the network.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
+    /// Share of datagrams that are lost.
     pub loss: f64,
+    /// Share of datagrams that arrive twice.
     pub duplicate: f64,
-    /// Least and most delay, in microseconds; a wide span reorders.
+    /// Shortest and longest delay, in microseconds; a wide range reorders datagrams.
     pub delay: (u64, u64),
-    /// Takes the news off probes, answers and gossip.
+    /// Whether pings, acks and gossip lose their items.
     pub mute: bool,
 }
 
@@ -51,12 +53,15 @@
     pub id: host::HostId,
     pub member: Option<member::Member>,
     pub paused: bool,
-    /// Hosts with another number can't be reached.
-    pub side: u8,
+    /// Number of the partition; only hosts with the same number reach each other.
+    pub partition: u8,
+    /// Bytes sent.
     pub sent: u64,
+    /// Datagrams sent.
     pub datagrams: u64,
+    /// Version mismatches found.
     pub mismatches: u64,
-    /// Number of the process on this host.
+    /// Number of processes started on this host.
     pub generation: u64,
     settings: configs::Node,
     wake: clock::Instant,
@@ -136,14 +141,14 @@
         net
     }
 
-    /// A network whose hosts know each other and have nothing left to say.
+    /// A network whose hosts all know each other and have sent all updates.
     pub fn settled(count: usize, seed: u64) -> Self {
         let mut net = Self::new(count, seed);
-        let settled = (0..60).any(|_| {
+        let agreed = (0..60).any(|_| {
             net.run(time::Duration::from_secs(1));
             net.agrees()
         });
-        assert!(settled, "seed {seed}: the mesh did not settle");
+        assert!(agreed, "seed {seed}: the views did not converge");
         net.run(time::Duration::from_secs(30));
         net
     }
@@ -157,7 +162,7 @@
             id,
             member: None,
             paused: false,
-            side: 0,
+            partition: 0,
             sent: 0,
             datagrams: 0,
             mismatches: 0,
@@ -169,27 +174,27 @@
         index
     }
 
-    /// Starts or restarts host `index` with a fresh process.
+    /// Starts or restarts host `index` with a new process.
     pub fn start(&mut self, index: usize) {
         let seed = self.rng.random();
-        let incarnation = EPOCH + self.now.as_micros() / 1000;
-        let slot = &mut self.hosts[index];
-        slot.generation += 1;
-        let mut member = member::Member::new(&slot.settings, seed, incarnation, self.now);
-        if slot.settings.join.is_empty() {
+        let incarnation = EPOCH_MS + self.now.as_micros() / 1000;
+        let host = &mut self.hosts[index];
+        host.generation += 1;
+        let mut member = member::Member::new(&host.settings, seed, incarnation, self.now);
+        if host.settings.join.is_empty() {
             member.await_directory();
         }
-        slot.member = Some(member);
+        host.member = Some(member);
         let local = upstream(index, view::Phase::Serving);
         self.handle(index, member::Event::Local(Some(local.into())));
     }
 
-    /// Ends the process of host `index` without a word.
+    /// Ends the process of host `index` without notice to the others.
     pub fn kill(&mut self, index: usize) {
         self.hosts[index].member = None;
     }
 
-    /// Lets virtual time run for `span`.
+    /// Advances virtual time by `span`.
     pub fn run(&mut self, span: time::Duration) {
         let end = self.now + span;
         while self.queue.peek().is_some_and(|step| step.0.0 <= end) {
@@ -198,15 +203,15 @@
         self.now = end;
     }
 
-    /// Lets virtual time run in tenths of a second until `done`, at most for `most`; gives the
-    /// time it took.
+    /// Advances virtual time in steps of 100 ms until `done`, at most by `limit`. Returns the time
+    /// this took; `None` at the limit.
     pub fn until(
         &mut self,
-        most: time::Duration,
+        limit: time::Duration,
         mut done: impl FnMut(&mut Net) -> bool,
     ) -> Option<time::Duration> {
         let begin = self.now;
-        while self.now.since(begin) <= most {
+        while self.now.since(begin) <= limit {
             if done(self) {
                 return Some(self.now.since(begin));
             }
@@ -230,7 +235,7 @@
         }
     }
 
-    /// Hands `message` to host `to` as its shell would.
+    /// Delivers `message` to host `to`, as its shell does.
     pub fn deliver(&mut self, to: usize, message: &[u8]) {
         if self.hosts[to].paused {
             let later = self.now + time::Duration::from_millis(50);
@@ -242,7 +247,7 @@
         self.handle(to, member::Event::Datagram(Box::new(datagram)));
     }
 
-    /// Hands `event` to host `index` and carries out its actions.
+    /// Lets host `index` handle `event` and carries out its actions.
     pub fn handle(&mut self, index: usize, event: member::Event) {
         let Some(member) = &mut self.hosts[index].member else { return };
         let actions = member.handle(event, self.now);
@@ -253,9 +258,9 @@
                 member::Action::Send { to, datagram } => self.send(index, to, datagram),
             }
         }
-        let slot = &mut self.hosts[index];
-        if slot.wake <= self.now || wake < slot.wake {
-            slot.wake = wake;
+        let host = &mut self.hosts[index];
+        if host.wake <= self.now || wake < host.wake {
+            host.wake = wake;
             self.push(wake, Step::Wake(index));
         }
     }
@@ -273,7 +278,7 @@
         self.hosts[from].sent += message.len() as u64;
         self.hosts[from].datagrams += 1;
         let Some(&to) = self.ids.get(&to) else { return };
-        if self.hosts[from].side != self.hosts[to].side {
+        if self.hosts[from].partition != self.hosts[to].partition {
             return;
         }
         let copies = 1 + u32::from(self.rng.random_bool(self.faults.duplicate));
@@ -291,7 +296,7 @@
         self.queue.push(cmp::Reverse((at, self.steps, step)));
     }
 
-    /// Wakes a paused host; what arrived in the meantime arrives now.
+    /// Resumes a paused host; datagrams that arrived in the meantime are delivered now.
     pub fn resume(&mut self, index: usize) {
         self.hosts[index].paused = false;
         self.handle(index, member::Event::Tick);
@@ -299,8 +304,8 @@
 
     /// The views of all running hosts that are not paused.
     pub fn views(&mut self) -> Vec<(usize, view::View)> {
-        let slots = self.hosts.iter_mut().enumerate().filter(|(_, s)| !s.paused);
-        slots.filter_map(|(i, s)| Some((i, s.member.as_mut()?.view()))).collect()
+        let hosts = self.hosts.iter_mut().enumerate().filter(|(_, h)| !h.paused);
+        hosts.filter_map(|(i, h)| Some((i, h.member.as_mut()?.view()))).collect()
     }
 
     /// Whether every running host sees exactly the running hosts as alive.
@@ -314,16 +319,16 @@
         })
     }
 
-    /// How many pairs of a running host and one it takes for unreachable there are.
+    /// The number of pairs of a running host and a host that it sees as unreachable.
     pub fn unreachable(&mut self) -> usize {
         let views = self.views();
         let hosts = views.iter().flat_map(|(_, v)| &v.hosts);
         hosts.filter(|h| h.health == view::Health::Unreachable).count()
     }
 
-    /// Puts the hosts for which `other` holds on the other side of a cut.
+    /// Partitions the network into the hosts for which `other` holds and the rest.
     pub fn cut(&mut self, other: impl Fn(&configs::Node) -> bool) {
-        self.hosts.iter_mut().for_each(|s| s.side = u8::from(other(&s.settings)));
+        self.hosts.iter_mut().for_each(|s| s.partition = u8::from(other(&s.settings)));
     }
 
     /// The standing of host `index`.
@@ -331,12 +336,12 @@
         self.hosts[index].member.as_ref().map(member::Member::standing)
     }
 
-    /// What the running hosts other than `index` hold of it.
+    /// How each other running host sees host `index`; `None` where it does not know it.
     pub fn seen(&mut self, index: usize) -> Vec<Option<view::Host>> {
-        let wanted = self.hosts[index].id;
+        let id = self.hosts[index].id;
         let views = self.views();
         let others = views.iter().filter(|(i, _)| *i != index);
-        others.map(|(_, v)| v.host(wanted).cloned()).collect()
+        others.map(|(_, v)| v.host(id).cloned()).collect()
     }
 
     /// Bytes sent so far by all hosts.
--- a/tests/member/scenes.rs
+++ b/tests/member/scenes.rs
@@ -1,4 +1,4 @@
-//! What happens to a mesh, and what every host makes of it.
+//! Joins, crashes, pauses, drains and restarts of hosts, and how all hosts see them.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
 #[case(1)]
 #[case(2)]
 #[case(3)]
-fn all_learn_of_each_other(#[case] seed: u64) {
+fn all_hosts_learn_of_each_other(#[case] seed: u64) {
     let mut net = net::Net::new(N, seed);
     let took = net.until(Duration::from_secs(20), net::Net::agrees);
-    assert!(took.is_some(), "not settled after 20 s");
+    assert!(took.is_some(), "no agreement after 20 s");
     net.run(Duration::from_secs(5));
     assert!((0..N).all(|i| net.standing(i) == Some(view::Standing::Member)));
 }
@@ -27,7 +27,7 @@
 #[case(1)]
 #[case(2)]
 #[case(3)]
-fn all_learn_of_one_that_joins(#[case] seed: u64) {
+fn all_hosts_learn_of_a_host_that_joins(#[case] seed: u64) {
     let mut net = net::Net::settled(N, seed);
     net.add(net::settings(N));
     let took = net.until(Duration::from_secs(15), net::Net::agrees);
@@ -38,20 +38,20 @@
 #[case(1)]
 #[case(2)]
 #[case(3)]
-fn death_is_found_in_time(#[case] seed: u64) {
+fn dead_host_is_detected_in_time(#[case] seed: u64) {
     let mut net = net::Net::settled(N, seed);
     net.kill(17);
     let took = net.until(Duration::from_secs(20), |net| {
         net.seen(17).iter().flatten().all(|h| h.health == view::Health::Unreachable)
     });
-    assert!(took.is_some(), "not found everywhere after 20 s");
-    assert_eq!(net.unreachable(), N - 1, "others were taken for dead");
+    assert!(took.is_some(), "not detected by all hosts after 20 s");
+    assert_eq!(net.unreachable(), N - 1, "other hosts were declared dead");
 }
 
 #[rstest]
 #[case(1)]
 #[case(2)]
-fn paused_host_refutes_before_it_acts(#[case] seed: u64) {
+fn paused_host_confirms_its_standing_before_it_acts(#[case] seed: u64) {
     let mut net = net::Net::settled(N, seed);
     let before = net.seen(17)[0].clone().unwrap().incarnation;
     net.hosts[17].paused = true;
@@ -69,11 +69,11 @@
     let agreed = net.until(Duration::from_secs(20), net::Net::agrees);
     assert!(agreed.is_some(), "not alive everywhere after 20 s");
     assert!(net.seen(17).iter().flatten().all(|h| h.incarnation > before));
-    assert_eq!(net.unreachable(), 0, "the paused host blamed others");
+    assert_eq!(net.unreachable(), 0, "the paused host declared others dead");
 }
 
 #[rstest]
-fn short_pause_costs_nothing_but_a_question() {
+fn short_pause_costs_only_a_ping() {
     let mut net = net::Net::settled(N, 1);
     let before = net.seen(17)[0].clone().unwrap().incarnation;
     net.hosts[17].paused = true;
@@ -101,7 +101,7 @@
                 .flatten()
                 .all(|h| h.upstream.as_ref().is_none_or(|u| u.phase == view::Phase::Draining))
         });
-        assert!(took.is_some(), "host {index} gets work 2 s after its drain");
+        assert!(took.is_some(), "host {index} still gets calls 2 s after its drain");
     }
 }
 
@@ -113,11 +113,11 @@
     let took = net.until(Duration::from_millis(2000), |net| {
         net.seen(5).iter().flatten().all(|h| h.upstream.is_none())
     });
-    assert!(took.is_some(), "the host gets work 2 s after its upstream was withdrawn");
+    assert!(took.is_some(), "the host still gets calls 2 s after its upstream was withdrawn");
 }
 
 #[rstest]
-fn leaving_host_is_gone_and_stays_gone() {
+fn leaving_host_is_removed_for_good() {
     let mut net = net::Net::settled(N, 1);
     net.handle(17, member::Event::Stage(node::Stage::End));
     net.kill(17);
@@ -128,7 +128,7 @@
 }
 
 #[rstest]
-fn restart_outranks_the_former_life() {
+fn restarted_host_supersedes_its_former_incarnation() {
     let mut net = net::Net::settled(N, 1);
     let before = net.seen(17)[0].clone().unwrap().incarnation;
     net.kill(17);
@@ -137,27 +137,27 @@
     let took = net.until(Duration::from_secs(20), |net| {
         net.seen(17).iter().flatten().filter(|h| h.incarnation > before).count() == N - 1
     });
-    assert!(took.is_some(), "the new life is not known everywhere after 20 s");
+    assert!(took.is_some(), "the new incarnation is not known to all hosts after 20 s");
     assert!(net.agrees());
 }
 
 #[rstest]
 #[case(1)]
 #[case(2)]
-fn third_restarts_at_once(#[case] seed: u64) {
+fn a_third_of_the_hosts_restarts_at_once(#[case] seed: u64) {
     let mut net = net::Net::settled(N, seed);
     let before = net.sent();
     (0..N).filter(|i| i % 3 == 0).for_each(|i| net.kill(i));
     net.run(Duration::from_secs(1));
     (0..N).filter(|i| i % 3 == 0).for_each(|i| net.start(i));
     let took = net.until(Duration::from_secs(30), net::Net::agrees);
-    assert!(took.is_some(), "not settled after 30 s");
+    assert!(took.is_some(), "no agreement after 30 s");
     let spent = (net.sent() - before) / N as u64;
     assert!(spent < 60_000, "{spent} bytes a host");
 }
 
 #[rstest]
-fn digests_mend_what_gossip_lost() {
+fn digests_repair_what_gossip_lost() {
     let mut net = net::Net::settled(N, 1);
     net.faults.mute = true;
     for index in 0..10 {
@@ -172,18 +172,18 @@
         };
         views.iter().all(|(_, v)| warming(v) == 10)
     });
-    assert!(took.is_some(), "not mended after 120 s");
+    assert!(took.is_some(), "not repaired after 120 s");
 }
 
 #[rstest]
-fn heard_of_another_version() {
+fn version_mismatch_is_detected() {
     let mut net = net::Net::settled(10, 1);
     assert_eq!(net.hosts.iter().map(|s| s.mismatches).sum::<u64>(), 0);
-    let stamp = dandelionspool::version::VersionId {
+    let version_id = dandelionspool::version::VersionId {
         version: dandelionspool::version::Version::new(7),
         digest: dandelionspool::version::Digest::of(b"seven"),
     };
-    net.handle(3, member::Event::Applied(stamp));
+    net.handle(3, member::Event::Applied(version_id));
     net.run(Duration::from_secs(3));
     assert!(net.hosts.iter().filter(|s| s.mismatches > 0).count() >= 2);
 }
--- a/tests/member_shell.rs
+++ b/tests/member_shell.rs
@@ -22,19 +22,19 @@
 use tokio::runtime;
 use tokio::sync::watch;
 
-/// A duty on a thread of its own.
+/// A membership duty that runs on a thread of its own.
 struct Duty {
     id: host::HostId,
     view: watch::Receiver<Arc<view::View>>,
     stage: watch::Sender<node::Stage>,
     applied: watch::Sender<Arc<mesh::Applied>>,
-    heard: ring::Receiver<member::VersionMismatch>,
+    mismatches: ring::Receiver<member::VersionMismatch>,
     traffic: Arc<traffic::Traffic>,
     _local: watch::Sender<Option<Arc<node::Local>>>,
     thread: thread::JoinHandle<Result<(), member::Error>>,
 }
 
-/// An address of this test run alone.
+/// An address that no other run of the tests uses.
 fn address(index: u16) -> net::SocketAddr {
     let [_, _, high, low] = process::id().to_be_bytes();
     net::SocketAddr::from((net::Ipv4Addr::new(127, 13, high, low), 7100 + 10 * index))
@@ -61,14 +61,14 @@
     let local = node::Local { address: address(index), instance: Default::default(), upstream };
     let (applied, applied_rx) = watch::channel(Arc::default());
     let (view_tx, view) = watch::channel(Arc::default());
-    let (heard_tx, heard) = ring::bounded(8);
+    let (mismatches_tx, mismatches) = ring::bounded(8);
     let (_local, local_rx) = watch::channel(Some(Arc::new(local)));
     let (stage, stage_rx) = watch::channel(node::Stage::Run);
     let traffic = Arc::<traffic::Traffic>::default();
     let wiring = member::shell::Wiring {
         applied: applied_rx,
         view: view_tx,
-        mismatches: heard_tx,
+        mismatches: mismatches_tx,
         local: local_rx,
         quarantine: quarantine::channel().1,
         stage: stage_rx,
@@ -82,10 +82,10 @@
         tokio::task::LocalSet::new().block_on(&runtime, duty)
     };
     let id = host::HostId::new(address(index));
-    Duty { id, view, stage, applied, heard, traffic, _local, thread: thread::spawn(run) }
+    Duty { id, view, stage, applied, mismatches, traffic, _local, thread: thread::spawn(run) }
 }
 
-/// Polls until `done`, for half a minute at most.
+/// Polls until `done`, at most for 30 s.
 fn wait(what: &str, mut done: impl FnMut() -> bool) {
     let begin = time::Instant::now();
     while !done() {
@@ -105,20 +105,20 @@
 }
 
 #[rstest]
-fn duties_find_each_other_and_a_stranger_is_dropped() {
+fn duties_find_each_other_and_drop_unauthenticated_datagrams() {
     let mut one = start(0, "key");
     let two = start(1, "key");
-    let stranger = start(2, "yek");
-    wait("joined", || sees(&one, two.id) && sees(&two, one.id));
+    let outsider = start(2, "yek");
+    wait("hosts see each other", || sees(&one, two.id) && sees(&two, one.id));
     let dropped = &one.traffic.of(traffic::Purpose::Member).dropped;
-    wait("stranger dropped", || dropped.load(atomic::Ordering::Relaxed) > 0);
-    assert!(!sees(&one, stranger.id) && !sees(&two, stranger.id));
+    wait("unauthenticated datagram dropped", || dropped.load(atomic::Ordering::Relaxed) > 0);
+    assert!(!sees(&one, outsider.id) && !sees(&two, outsider.id));
 
     let version = version::Version::new(7);
-    let stamp = version::VersionId { version, digest: version::Digest::of(b"seven") };
-    two.applied.send_replace(Arc::new(mesh::Applied { version_id: stamp, mesh: Arc::default() }));
-    wait("version heard", || {
-        one.heard.try_recv().is_ok_and(|h| h.host == two.id && h.version == version)
+    let version_id = version::VersionId { version, digest: version::Digest::of(b"seven") };
+    two.applied.send_replace(Arc::new(mesh::Applied { version_id, mesh: Arc::default() }));
+    wait("version mismatch found", || {
+        one.mismatches.try_recv().is_ok_and(|h| h.host == two.id && h.version == version)
     });
 
     two.stage.send(node::Stage::Drain).unwrap();
@@ -128,12 +128,12 @@
     let id = two.id;
     stop(two);
     wait("leave seen", || one.view.borrow().host(id).is_none());
-    stop(stranger);
+    stop(outsider);
     stop(one);
 }
 
 #[rstest]
-fn address_in_use_is_a_typed_error() {
+fn address_in_use_is_returned_as_an_error() {
     let one = start(20, "key");
     wait("started", || one.view.borrow().host(one.id).is_some());
     let two = start(20, "key");
