--- a/src/member/directory/search.rs
+++ b/src/member/directory/search.rs
@@ -55,7 +55,7 @@
     /// Its region and availability zone.
     pub locality: view::Locality,
     /// The upstream beside it.
-    pub local: watch::Receiver<Option<Arc<node::Local>>>,
+    pub local: watch::Receiver<Option<Arc<node::LocalUpstream>>>,
     /// Configuration that it runs, whose version contains the epoch of the log.
     pub applied: watch::Receiver<Arc<mesh::Applied>>,
 }
--- a/src/member/directory/search/tests.rs
+++ b/src/member/directory/search/tests.rs
@@ -95,7 +95,7 @@
 /// A host under test, with the upstream beside it.
 struct Host {
     search: search::Search,
-    local: watch::Sender<Option<Arc<node::Local>>>,
+    local: watch::Sender<Option<Arc<node::LocalUpstream>>>,
     applied: watch::Sender<Arc<mesh::Applied>>,
 }
 
@@ -103,7 +103,7 @@
     host::HostId::new((net::Ipv4Addr::new(10, 0, 0, last), 7100).into())
 }
 
-fn upstream(slots: u16, phase: view::Phase) -> Option<Arc<node::Local>> {
+fn upstream(slots: u16, phase: view::Phase) -> Option<Arc<node::LocalUpstream>> {
     let (service, class) = ("shop".into(), "shop".into());
     let upstream = view::Upstream {
         service,
@@ -116,7 +116,7 @@
         trial: Default::default(),
     };
     let address = (net::Ipv4Addr::new(10, 0, 0, 1), 80).into();
-    Some(Arc::new(node::Local { address, instance: "i".into(), upstream }))
+    Some(Arc::new(node::LocalUpstream { address, instance: "i".into(), upstream }))
 }
 
 /// Starts the search of host `last`, whose upstream has announced itself if `serves`.
@@ -205,7 +205,7 @@
 #[case::none(None, 0)]
 #[tokio::test(start_paused = true)]
 async fn a_host_registers_again_when_its_upstream_differs(
-    #[case] local: Option<Arc<node::Local>>,
+    #[case] local: Option<Arc<node::LocalUpstream>>,
     #[case] registrations: u32,
 ) {
     run_local(async {
@@ -233,7 +233,7 @@
 
 /// Makes `host` run a configuration that was read in `epoch`.
 fn apply_epoch(host: &Host, epoch: u64) {
-    let version = version::Version::settled(3, crate::logs::ordinal(epoch, 4));
+    let version = version::Version::assigned(3, crate::logs::ordinal(epoch, 4));
     let version_id = version::VersionId { version, ..Default::default() };
     host.applied.send_replace(Arc::new(mesh::Applied { version_id, ..Default::default() }));
 }
--- a/src/member/quarantined.rs
+++ b/src/member/quarantined.rs
@@ -67,7 +67,7 @@
 
     /// Removes expired crashes and entries.
     pub fn forget(&mut self, now: clock::Instant) {
-        self.changed |= self.table.forget(now);
+        self.changed |= self.table.expire(now);
     }
 
     /// The record of a crash of the upstream beside this host while `fingerprints` ran. Of too many
@@ -111,7 +111,7 @@
     }
 
     fn record_answer(&mut self, fingerprint: quarantine::Fingerprint) {
-        let crashes = self.quarantine.table.clear(fingerprint, self.now);
+        let crashes = self.quarantine.table.record_answer(fingerprint, self.now);
         self.quarantine.changed |= crashes > 0;
         // Below this threshold no host acts on the crashes, so that lifting them would only be
         // traffic.
@@ -126,7 +126,7 @@
 
     fn record_crash(&mut self, crash: quarantine::Crash) {
         let id = crash.id;
-        if self.quarantine.table.note(crash, self.now) {
+        if self.quarantine.table.record_crash(crash, self.now) {
             self.quarantine.changed = true;
             self.queue_update(updates::Topic::Crash(id), updates::Priority::Urgent, 0);
         }
--- a/src/member/shell.rs
+++ b/src/member/shell.rs
@@ -41,7 +41,7 @@
     /// mismatch is dropped, since the next ping reports it again.
     pub mismatches: ring::Sender<member::VersionMismatch>,
     /// The upstream beside this node.
-    pub local: watch::Receiver<Option<Arc<node::Local>>>,
+    pub local: watch::Receiver<Option<Arc<node::LocalUpstream>>>,
     /// Reports of crashes and answers, and the published quarantine entries.
     pub quarantine: quarantine::MemberSide,
     /// Stage of the process; at [`node::Stage::End`] the duty leaves the mesh and ends.
@@ -98,7 +98,7 @@
 
 /// Whether the upstream is not draining, so that its node is about to restart. Such a node stays
 /// registered, which saves two requests for each node when all nodes are restarted in turn.
-fn is_serving(local: &watch::Receiver<Option<Arc<node::Local>>>) -> bool {
+fn is_serving(local: &watch::Receiver<Option<Arc<node::LocalUpstream>>>) -> bool {
     let local = local.borrow();
     local.as_ref().is_some_and(|local| local.upstream.phase != view::Phase::Draining)
 }
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -37,9 +37,9 @@
         kind: "buy".into(),
         weight: 5,
     };
-    let name = record::Name { host, life: 1, sequence };
+    let name = record::TotalId { host, incarnation: 1, sequence };
     let rows = vec![record::Row { label, served }];
-    record::encode(&record::Total { name, until_unix_ms, rows })
+    record::encode(&record::Total { id: name, until_unix_ms, rows })
 }
 
 #[tokio::test]
@@ -90,7 +90,8 @@
     });
     let (_applied, applied) = watch::channel(Arc::default());
     let (_view, view) = watch::channel(Arc::new(view::View::new(hosts.to_vec())));
-    let (_reach, reach) = watch::channel(logs::reach::Reach::Fails { since_unix_ms: 1000 });
+    let (_reach, reach) =
+        watch::channel(logs::reachability::Reachability::Fails { since_unix_ms: 1000 });
     let (_tallies, tallies) = ring::bounded(1);
     let (_stage, stage) = watch::channel(node::Stage::Run);
     let wiring = admin::shell::Wiring {
