--- a/src/proxy/inbound_link/tests.rs
+++ b/src/proxy/inbound_link/tests.rs
@@ -128,10 +128,10 @@
 fn short_calls_pass_a_link_that_uploads_fill() {
     let settings = configs::proxy::Proxy { link_mbps: 6.5, ..configs::proxy::Proxy::default() };
     let all_at_once = inbound_link::Plan { window: 262_144, turns: usize::MAX };
-    let (before, through) = short_calls(all_at_once);
-    let (after, paced) = short_calls(inbound_link::Plan::new(&settings));
-    println!("{before} ms and {through} uploads at once, {after} ms and {paced} in turns");
+    let (before, completed) = short_calls(all_at_once);
+    let (after, in_turns) = short_calls(inbound_link::Plan::new(&settings));
+    println!("{before} ms and {completed} uploads at once, {after} ms and {in_turns} in turns");
     assert!(before > 200, "{before} ms behind all uploads at once");
     assert!(after <= 40, "{after} ms behind uploads in turns");
-    assert!(paced * 100 >= through * 98, "the link stays busy: {paced} of {through}");
+    assert!(in_turns * 100 >= completed * 98, "the link stays busy: {in_turns} of {completed}");
 }
