--- a/src/member/detect.rs
+++ b/src/member/detect.rs
@@ -307,8 +307,8 @@
         for zone in zones {
             self.expire_zone(&zone);
         }
-        self.table.forget(time::Duration::from_secs(self.settings.forget_s), self.now);
-        self.quarantine.forget(self.now);
+        self.table.expire(time::Duration::from_secs(self.settings.forget_s), self.now);
+        self.quarantine.expire(self.now);
     }
 
     /// Marks the hosts of a zone that was unreachable for too long as dead, without gossip: every
@@ -339,8 +339,8 @@
         }
     }
 
-    /// Extends all deadlines by the `gap` in which this process did not run, and drops probes and
-    /// checks under way: it could not receive answers meanwhile.
+    /// Extends the deadlines of suspects by the `gap` in which this process did not run, and drops
+    /// the probe and the checks under way: it could not receive answers meanwhile.
     pub(super) fn compensate_pause(&mut self, gap: time::Duration) {
         log::warn!(gap_ms = gap.as_millis() as u64; "process was paused");
         self.prober.restart(self.now);
@@ -350,9 +350,9 @@
 
     /// Time for which a suspect may refute; it grows with the logarithm of the number of hosts.
     pub(super) fn suspicion_timeout(&self) -> time::Duration {
-        let tenfolds = (self.table.present() as f64).log10().max(1.0);
+        let magnitude = (self.table.present() as f64).log10().max(1.0);
         let period = millis(self.settings.probe_ms);
-        (period * u32::from(self.settings.suspicion)).mul_f64(tenfolds)
+        (period * u32::from(self.settings.suspicion)).mul_f64(magnitude)
     }
 
     /// Whether `id` is known and its zone is not unreachable.
--- a/src/member/directory/search.rs
+++ b/src/member/directory/search.rs
@@ -29,8 +29,8 @@
 /// Longest time a leaving host may take to deregister.
 const DEREGISTER_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 
-/// Longest time a host waits for its upstream before it registers without one, and a second time
-/// once the upstream is there. In a mesh that starts for the first time upstreams announce
+/// Longest time a host waits for its upstream. It then registers without one, and again once the
+/// upstream has announced itself. In a mesh that starts for the first time upstreams announce
 /// themselves after the first configuration, some three seconds after the hosts start.
 const UPSTREAM_TIMEOUT: time::Duration = time::Duration::from_secs(4);
 
@@ -47,7 +47,7 @@
 
 /// This host, as far as its registration needs it.
 #[derive(Clone, Debug)]
-pub(in crate::member) struct Own {
+pub(in crate::member) struct LocalHost {
     /// This host.
     pub host: host::HostId,
     /// Incarnation of its process.
@@ -60,7 +60,7 @@
     pub applied: watch::Receiver<Arc<mesh::Applied>>,
 }
 
-impl Own {
+impl LocalHost {
     fn profile(&self) -> directory::Profile {
         let upstream = self.local.borrow().as_ref().map(|local| local.upstream.clone());
         directory::Profile {
@@ -95,7 +95,7 @@
     }
 
     /// Waits until there is an upstream that differs from the one in `listed`. An upstream that
-    /// drains or is gone does not count: its host may leave as ok and then deregisters.
+    /// drains or is gone does not count: its host may leave as well and then deregisters.
     async fn wait_changed(&mut self, listed: Option<&directory::Profile>) {
         loop {
             // A closed channel means that the process ends.
@@ -129,7 +129,7 @@
     /// Starts the task that registers the host `own` in `directory` and looks up others.
     pub(in crate::member) fn start<D: directory::Directory>(
         directory: D,
-        own: Own,
+        own: LocalHost,
         settings: &configs::member::Member,
     ) -> Self {
         let (sender, found) = mpsc::channel(CHANNEL_CAPACITY);
@@ -178,7 +178,7 @@
 /// The task of one host.
 struct Task<D> {
     directory: D,
-    own: Own,
+    own: LocalHost,
     /// The profile of this host that the directory is known to have; `None` when it has none.
     listed: Option<directory::Profile>,
     found: mpsc::Sender<Vec<directory::Listed>>,
@@ -221,7 +221,7 @@
             tokio::select! {
                 () = tokio::time::sleep_until(due) => {}
                 () = self.own.wait_changed(self.listed.as_ref()) => {}
-                later = Own::wait_restored(&mut applied, host, epoch) => {
+                later = LocalHost::wait_restored(&mut applied, host, epoch) => {
                     epoch = later;
                     registers_again = self.listed.take().is_some();
                 }
--- a/src/member/directory/search/tests.rs
+++ b/src/member/directory/search/tests.rs
@@ -124,7 +124,7 @@
     let serving = serves.then(|| upstream(7, view::Phase::Serving)).flatten();
     let (local, receiver) = watch::channel(serving);
     let (applied, running) = watch::channel(Arc::default());
-    let own = search::Own {
+    let own = search::LocalHost {
         host: id(last),
         incarnation: 3,
         locality: view::Locality { region: "r".into(), zone: "z".into() },
--- a/src/member/gossip.rs
+++ b/src/member/gossip.rs
@@ -36,7 +36,7 @@
 /// How an update reached this host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Source {
-    /// By gossip.
+    /// By gossip, or through this host's own failure detection.
     Gossip,
     /// By a comparison of digests that showed it was missing here.
     Repair,
@@ -93,7 +93,7 @@
                 self.compare_digests(from, prefix, &children)
             }
             wire::Body::Gossip => {}
-            wire::Body::Page { next, settled } => self.receive_page(from, next, settled),
+            wire::Body::Page { next, joined } => self.receive_page(from, next, joined),
             wire::Body::Ping { sequence, running } => {
                 let running_here = self.running_here();
                 self.send(from, wire::Body::Ack { sequence, running: running_here });
--- a/src/member/join.rs
+++ b/src/member/join.rs
@@ -252,11 +252,11 @@
     }
 
     /// Handles the end of a page from `from`, whose items are merged already.
-    pub(super) fn receive_page(&mut self, from: host::HostId, next: Option<u32>, settled: bool) {
+    pub(super) fn receive_page(&mut self, from: host::HostId, next: Option<u32>, joined: bool) {
         if self.join.done || self.join.asked.take_if(|a| a.peer == from).is_none() {
             return;
         }
-        if settled {
+        if joined {
             // Only a host that has joined counts: hosts that all join at once must not wait for
             // each other for ever.
             self.join.progress = self.now;
@@ -267,7 +267,7 @@
                 self.join.next_hash = cursor;
                 self.pull(from);
             }
-            None if settled => self.finish_join(standing::Event::Joined),
+            None if joined => self.finish_join(standing::Event::Joined),
             None => {
                 self.join.next_hash = 0;
                 self.back_off(None);
@@ -294,8 +294,8 @@
             self.send(to, wire::Body::Busy { instead });
             return;
         }
-        let settled = self.join.done;
-        let room = wire::Body::Page { next: Some(u32::MAX), settled };
+        let joined = self.join.done;
+        let room = wire::Body::Page { next: Some(u32::MAX), joined };
         let mut packer = wire::Packer::new(self.id, room);
         let mut next = None;
         if cursor == 0 {
@@ -308,7 +308,7 @@
             }
         }
         let mut datagram = packer.finish();
-        datagram.body = wire::Body::Page { next, settled };
+        datagram.body = wire::Body::Page { next, joined };
         self.out.push(member::Action::Send { to, datagram });
     }
 }
--- a/src/member/mod.rs
+++ b/src/member/mod.rs
@@ -25,7 +25,7 @@
 mod gossip;
 mod join;
 mod probe;
-mod quarantined;
+mod quarantine_sync;
 mod repair;
 pub mod shell;
 mod standing;
@@ -125,7 +125,7 @@
     detect: detect::Timers,
     repair: repair::Repair,
     join: join::Join,
-    quarantine: quarantined::Quarantine,
+    quarantine: quarantine_sync::Quarantine,
     standing: standing::Standing,
     /// Sequence number of the last ping or ping request.
     sequence: u32,
@@ -160,7 +160,7 @@
             detect: detect::Timers::default(),
             repair: repair::Repair::default(),
             join: join::Join::new(id, &settings.join, now),
-            quarantine: quarantined::Quarantine::new(id, incarnation),
+            quarantine: quarantine_sync::Quarantine::new(id, incarnation),
             standing: standing::Standing::default(),
             sequence: 0,
             dirty: true,
--- a/src/member/quarantined.rs
+++ b/src/member/quarantine_sync.rs
@@ -66,7 +66,7 @@
     }
 
     /// Removes expired crashes and entries.
-    pub fn forget(&mut self, now: clock::Instant) {
+    pub fn expire(&mut self, now: clock::Instant) {
         self.changed |= self.table.expire(now);
     }
 
--- a/src/member/shell.rs
+++ b/src/member/shell.rs
@@ -71,7 +71,7 @@
     if directory.is_shared() {
         member.await_directory();
     }
-    let own = search::Own {
+    let own = search::LocalHost {
         host,
         incarnation,
         locality: view::Locality { region: settings.region.clone(), zone: settings.zone.clone() },
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -197,7 +197,7 @@
     }
 
     /// Removes the hosts that were declared dead or left more than `age` ago.
-    pub fn forget(&mut self, age: time::Duration, now: clock::Instant) {
+    pub fn expire(&mut self, age: time::Duration, now: clock::Instant) {
         self.entries.retain(|_, e| e.is_present() || now.since(e.since) <= age);
         self.gone = self.entries.values().filter(|e| !e.is_present()).count();
     }
--- a/src/member/tests/table.rs
+++ b/src/member/tests/table.rs
@@ -149,9 +149,9 @@
     apply(&mut table, &Update::Claim(0, 1, wire::Claim::Dead));
     apply(&mut table, &Update::Claim(1, 1, wire::Claim::Suspect));
     let age = time::Duration::from_secs(10);
-    table.forget(age, clock::Instant::from_millis(10_000));
+    table.expire(age, clock::Instant::from_millis(10_000));
     assert!(table.get(host(0)).is_some());
-    table.forget(age, clock::Instant::from_millis(10_001));
+    table.expire(age, clock::Instant::from_millis(10_001));
     assert!(table.get(host(0)).is_none());
     assert_eq!(table.present(), 3);
 }
--- a/src/member/wire.rs
+++ b/src/member/wire.rs
@@ -73,7 +73,7 @@
     Bucket {
         /// The range.
         prefix: Prefix,
-        /// Whether the receiver sends back the records of which it has newer ones.
+        /// Whether the receiver sends back the records that are newer on its side.
         reply: bool,
     },
     /// Refuses a page, as the rate limit is reached.
@@ -95,7 +95,7 @@
         /// Lowest hash of the next page; `None` at the end of the table.
         next: Option<u32>,
         /// Whether the sender has joined the mesh itself.
-        settled: bool,
+        joined: bool,
     },
     /// Probes a host.
     Ping {
@@ -118,11 +118,11 @@
     pub service: u8,
     /// Index of its class among the names.
     pub class: u8,
-    /// Life cycle.
+    /// Phase in its life cycle.
     pub phase: view::Phase,
-    /// Calls it runs at once.
+    /// Number of calls it runs at once.
     pub slots: u16,
-    /// Connections it accepts.
+    /// Number of connections it accepts.
     pub connections: u16,
     /// Incarnation of the upstream, counted within the incarnation of its node.
     pub incarnation: u32,
--- a/tests/member/feed.rs
+++ b/tests/member/feed.rs
@@ -130,7 +130,7 @@
 
     /// The page of host `from` that begins with host `index`.
     fn page(&self, from: host::HostId, index: usize) -> wire::Datagram {
-        let body = wire::Body::Page { next: Some(u32::MAX), settled: true };
+        let body = wire::Body::Page { next: Some(u32::MAX), joined: true };
         let mut packer = wire::Packer::new(from, body);
         let first = index.max(1);
         let fitted = |i: &usize| pack(&mut packer, *i, FIRST_INCARNATION, view::Phase::Serving);
@@ -138,7 +138,7 @@
         let next = first + packed;
         let next = (next < self.count).then_some(next as u32);
         let mut datagram = packer.finish();
-        datagram.body = wire::Body::Page { next, settled: true };
+        datagram.body = wire::Body::Page { next, joined: true };
         datagram
     }
 }
--- a/tests/member/main.rs
+++ b/tests/member/main.rs
@@ -1,10 +1,10 @@
 //! Tests of membership in virtual time, which are deterministic.
 
-mod cold;
+mod cold_start;
 mod cost;
 mod faults;
 mod feed;
 mod net;
 mod presets;
 mod quarantine;
-mod scenes;
+mod scenarios;
