--- a/src/member/detect.rs
+++ b/src/member/detect.rs
@@ -350,7 +350,7 @@
 
     /// Time for which a suspect may refute; it grows with the logarithm of the number of hosts.
     pub(super) fn suspicion_timeout(&self) -> time::Duration {
-        let magnitude = (self.table.present() as f64).log10().max(1.0);
+        let magnitude = (self.table.present_count() as f64).log10().max(1.0);
         let period = millis(self.settings.probe_ms);
         (period * u32::from(self.settings.suspicion)).mul_f64(magnitude)
     }
--- a/src/member/gossip.rs
+++ b/src/member/gossip.rs
@@ -322,7 +322,7 @@
 
     /// How often each update is sent from this host: more often in a larger mesh.
     pub(super) fn limits(&self) -> updates::Limits {
-        let doublings = usize::BITS - self.table.present().leading_zeros();
+        let doublings = usize::BITS - self.table.present_count().leading_zeros();
         let max = if self.updates.count() > MAX_BACKLOG { BACKLOG_SENDS } else { u32::MAX };
         let plain = (u32::from(self.settings.retransmit) * doublings.max(1)).min(max);
         updates::Limits { urgent: plain + self.fanout(), plain }
@@ -330,7 +330,7 @@
 
     /// Extra datagrams for an urgent update: enough to reach almost every host.
     pub(super) fn fanout(&self) -> u32 {
-        let hosts = self.table.present() as f64;
+        let hosts = self.table.present_count() as f64;
         hosts.ln().ceil() as u32 + u32::from(self.settings.urgent)
     }
 
--- a/src/member/join.rs
+++ b/src/member/join.rs
@@ -280,7 +280,7 @@
         self.join.confirmed = event == standing::Event::Joined;
         self.join.asked = None;
         self.dirty = true;
-        log::info!(hosts = self.table.present(), how:? = event; "joined the mesh");
+        log::info!(hosts = self.table.present_count(), how:? = event; "joined the mesh");
         self.change_standing(event);
         // So far this host's record has reached only the hosts that were asked for pages.
         self.queue_update(updates::Topic::Record(self.id), updates::Priority::Plain, 0);
--- a/src/member/mod.rs
+++ b/src/member/mod.rs
@@ -213,8 +213,8 @@
     }
 
     /// The number of hosts that are neither dead nor have left, this one included.
-    pub fn present(&self) -> usize {
-        self.table.present()
+    pub fn present_count(&self) -> usize {
+        self.table.present_count()
     }
 
     fn host(&self, id: host::HostId, entry: &table::Entry) -> view::Host {
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -146,7 +146,7 @@
     }
 
     /// The number of present hosts, this one included.
-    pub fn present(&self) -> usize {
+    pub fn present_count(&self) -> usize {
         self.entries.len() - self.gone
     }
 
--- a/src/member/tests/table.rs
+++ b/src/member/tests/table.rs
@@ -105,7 +105,7 @@
         shuffled.iter().for_each(|(_, u)| apply(&mut other, u));
         prop_assert_eq!(content(&one), content(&other));
         prop_assert_eq!(one.root(), other.root());
-        prop_assert_eq!(one.present(), other.present());
+        prop_assert_eq!(one.present_count(), other.present_count());
     }
 
     #[test]
@@ -135,7 +135,7 @@
         let parts = table.digests(wire::Prefix::default());
         let count: usize = parts.iter().map(|(_, count)| count).sum();
         let root = parts.iter().fold(0, |acc, (d, _)| acc ^ u32::from_le_bytes(*d));
-        prop_assert_eq!(count, table.present());
+        prop_assert_eq!(count, table.present_count());
         prop_assert_eq!(root.to_le_bytes(), table.root());
         for (index, (_, count)) in (0u32..).zip(parts) {
             prop_assert_eq!(table.within(wire::Prefix { bits: 4, index }).count(), count);
@@ -153,7 +153,7 @@
     assert!(table.get(host(0)).is_some());
     table.expire(age, clock::Instant::from_millis(10_001));
     assert!(table.get(host(0)).is_none());
-    assert_eq!(table.present(), 3);
+    assert_eq!(table.present_count(), 3);
 }
 
 #[test]
--- a/tests/member/feed.rs
+++ b/tests/member/feed.rs
@@ -54,7 +54,7 @@
         };
         let local = net::upstream(0, view::Phase::Serving);
         feed.handle(member::Event::Local(Some(local.into())));
-        while feed.member.present() < count {
+        while feed.member.present_count() < count {
             feed.advance(time::Duration::from_millis(100));
         }
         feed
--- a/tests/member/quarantine.rs
+++ b/tests/member/quarantine.rs
@@ -140,13 +140,13 @@
 #[test]
 fn the_refusal_expires_and_so_does_its_traffic() {
     let mut net = refusing(HOSTS, 8);
-    let mut span = |seconds| {
+    let mut rate = |seconds| {
         let before = net.sent();
         net.run(time::Duration::from_secs(seconds));
         (net.sent() - before) / seconds
     };
-    let (quarantined, _) = (span(200), span(800));
-    let idle = span(200);
+    let (quarantined, _) = (rate(200), rate(800));
+    let idle = rate(200);
     println!("{quarantined} bytes a second of {HOSTS} hosts while it is refused, {idle} after");
     assert_eq!(unaware(&mut net).len(), HOSTS);
     // An item of eight bytes with each of the twelve pings a second and its ack, and some seconds
