--- a/src/admin/announce.rs
+++ b/src/admin/announce.rs
@@ -78,7 +78,11 @@
     pub sequence: u64,
     /// When this life of the instance began, in milliseconds since the Unix epoch; `None` where it
     /// doesn't say. Compared with other lives of the instance alone, never with a clock.
-    #[serde(default, deserialize_with = "given", skip_serializing_if = "Option::is_none")]
+    #[serde(
+        default,
+        deserialize_with = "required_number",
+        skip_serializing_if = "Option::is_none"
+    )]
     pub born: Option<u64>,
 }
 
@@ -86,12 +90,12 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
 pub struct Withdrawal {
     /// The life that ends, as in [`Announcement::born`].
-    #[serde(default, deserialize_with = "given")]
+    #[serde(default, deserialize_with = "required_number")]
     pub born: Option<u64>,
 }
 
 /// A number that has to be one where it is given.
-fn given<'de, D: Deserializer<'de>>(number: D) -> Result<Option<u64>, D::Error> {
+fn required_number<'de, D: Deserializer<'de>>(number: D) -> Result<Option<u64>, D::Error> {
     u64::deserialize(number).map(Some)
 }
 
@@ -144,59 +148,66 @@
     }
 
     /// Whether the instance has nothing to mend: saying the same again would change nothing.
-    pub const fn is_heard(self) -> bool {
+    pub const fn is_conclusive(self) -> bool {
         self.pending() || matches!(self, Fault::Foreign | Fault::Stale)
     }
 }
 
 /// Instances that have gone and are remembered. A backend's late announcements come within seconds,
 /// and a host replaces its upstream a few times an hour at most.
-const GONE: usize = 32;
+const MAX_ENDED: usize = 32;
 
 /// An announcement that holds.
 #[derive(Debug)]
-struct Held {
+struct Current {
     instance: SmolStr,
     announcement: Announcement,
-    life: u32,
+    incarnation: u32,
     until: clock::Instant,
 }
 
 /// A life of an instance. Later lives compare greater; one that doesn't say when it began is taken
 /// for the first.
-type Born = Option<u64>;
+type StartTime = Option<u64>;
 
 /// Stands for every life of an instance, whenever it began.
-const EVERY: Born = Some(u64::MAX);
+const ANY_START: StartTime = Some(u64::MAX);
 
 /// An instance that has gone.
 #[derive(Debug)]
-struct Gone {
+struct Ended {
     instance: SmolStr,
     /// The last of its lives that is known to have ended.
-    born: Born,
+    born: StartTime,
 }
 
 /// The announcement that holds, if one does.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Registry {
     host: net::IpAddr,
     lease: time::Duration,
     /// The last announcement.
-    held: Option<Held>,
+    current: Option<Current>,
     /// Instances that have gone, the latest last. Invariant: `held` is a later life than any of
     /// them.
-    gone: collections::VecDeque<Gone>,
+    ended: collections::VecDeque<Ended>,
     /// Lives announced so far.
-    lives: u32,
+    incarnations: u32,
     /// The last life announced.
-    last: Option<(SmolStr, Born)>,
+    last: Option<(SmolStr, StartTime)>,
 }
 
-impl Desk {
+impl Registry {
     /// A desk on the host with address `host`; announcements hold for `lease`.
     pub const fn new(host: net::IpAddr, lease: time::Duration) -> Self {
-        Self { host, lease, held: None, gone: collections::VecDeque::new(), lives: 0, last: None }
+        Self {
+            host,
+            lease,
+            current: None,
+            ended: collections::VecDeque::new(),
+            incarnations: 0,
+            last: None,
+        }
     }
 
     /// Whether `peer` may announce: this host's own address or loopback.
@@ -231,9 +242,9 @@
         }
         let until = now + self.lease;
         let life = self.life(instance, announcement.born);
-        let held = Held { instance: instance.clone(), announcement, life, until };
-        if let Some(old) = self.held.replace(held).filter(|old| old.instance != *instance) {
-            self.forget(old.instance, EVERY);
+        let held = Current { instance: instance.clone(), announcement, incarnation: life, until };
+        if let Some(old) = self.current.replace(held).filter(|old| old.instance != *instance) {
+            self.record_end(old.instance, ANY_START);
         }
         found
     }
@@ -241,57 +252,57 @@
     /// Takes back what the life of `instance` that `born` names has announced, and every later
     /// announcement that it sent before; without `born`, the life that is known.
     pub fn withdraw(&mut self, instance: &SmolStr, born: Option<u64>) {
-        let known = self.held.as_ref().filter(|held| held.instance == *instance);
+        let known = self.current.as_ref().filter(|held| held.instance == *instance);
         let known = known.map(|held| held.announcement.born);
-        let ended = born.or(known.unwrap_or(EVERY));
-        self.held.take_if(|held| held.instance == *instance && held.announcement.born <= ended);
-        self.forget(instance.clone(), ended);
+        let ended = born.or(known.unwrap_or(ANY_START));
+        self.current.take_if(|held| held.instance == *instance && held.announcement.born <= ended);
+        self.record_end(instance.clone(), ended);
     }
 
     /// The number of the life of `instance` that began at `born`.
-    fn life(&mut self, instance: &SmolStr, born: Born) -> u32 {
-        let same = |(name, when): &(SmolStr, Born)| name == instance && *when == born;
+    fn life(&mut self, instance: &SmolStr, born: StartTime) -> u32 {
+        let same = |(name, when): &(SmolStr, StartTime)| name == instance && *when == born;
         if !self.last.as_ref().is_some_and(same) {
-            self.lives = self.lives.wrapping_add(1);
+            self.incarnations = self.incarnations.wrapping_add(1);
             self.last = Some((instance.clone(), born));
         }
-        self.lives
+        self.incarnations
     }
 
     fn is_stale(&self, instance: &SmolStr, new: &Announcement) -> bool {
-        let held = self.held.as_ref().filter(|held| held.instance == *instance);
+        let held = self.current.as_ref().filter(|held| held.instance == *instance);
         let later = held.is_some_and(|held| {
             let old = &held.announcement;
             (old.born, old.sequence) > (new.born, new.sequence)
         });
-        later || self.gone.iter().any(|gone| gone.instance == *instance && gone.born >= new.born)
+        later || self.ended.iter().any(|gone| gone.instance == *instance && gone.born >= new.born)
     }
 
     /// Remembers that the lives of `instance` up to `born` have ended. Upstreams without a name can't
     /// be told apart.
-    fn forget(&mut self, instance: SmolStr, born: Born) {
+    fn record_end(&mut self, instance: SmolStr, born: StartTime) {
         if instance.is_empty() {
             return;
         }
-        if let Some(gone) = self.gone.iter_mut().find(|gone| gone.instance == instance) {
+        if let Some(gone) = self.ended.iter_mut().find(|gone| gone.instance == instance) {
             gone.born = gone.born.max(born);
             return;
         }
-        if self.gone.len() >= GONE {
-            self.gone.pop_front();
+        if self.ended.len() >= MAX_ENDED {
+            self.ended.pop_front();
         }
-        self.gone.push_back(Gone { instance, born });
+        self.ended.push_back(Ended { instance, born });
     }
 
     /// Drops the announcement when its lease has ended.
     pub fn expire(&mut self, now: clock::Instant) {
-        self.held.take_if(|held| held.until <= now);
+        self.current.take_if(|held| held.until <= now);
     }
 
     /// The upstream as `mesh` allows it: within the limits of its class, and only if the mesh has
     /// its service and class.
     pub fn local(&self, mesh: &mesh::Mesh) -> Option<node::LocalUpstream> {
-        let Held { instance, announcement, life, .. } = self.held.as_ref()?;
+        let Current { instance, announcement, incarnation: life, .. } = self.current.as_ref()?;
         let class = class(announcement, mesh).ok()?;
         let upstream = view::Upstream {
             service: announcement.service.clone(),
--- a/src/admin/calls.rs
+++ b/src/admin/calls.rs
@@ -19,7 +19,7 @@
 
 /// Most rows kept, so that configurations which come and go can't grow it without bound. Counts of
 /// further labels are left out.
-const ROWS: usize = 4096;
+const MAX_ROWS: usize = 4096;
 
 /// What a row is about: a kind of call of a service, whatever its weight and organisation.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -43,7 +43,7 @@
             let known = rows.len();
             match rows.entry(row) {
                 btree_map::Entry::Occupied(mut entry) => entry.get_mut().add(totals),
-                btree_map::Entry::Vacant(entry) if known < ROWS => {
+                btree_map::Entry::Vacant(entry) if known < MAX_ROWS => {
                     entry.insert(*totals);
                 }
                 btree_map::Entry::Vacant(_) => {}
--- a/src/admin/whole.rs
+++ b/src/admin/mesh_status.rs
@@ -9,7 +9,7 @@
 use crate::logs::reachability;
 
 /// Most hosts that are named in one list of a report; the counts are always complete.
-pub const NAMED: usize = 50;
+pub const MAX_NAMED_HOSTS: usize = 50;
 
 /// How much of the mesh a report covers.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -29,7 +29,7 @@
     pub fn new(heard: usize, mut missing: Vec<SmolStr>) -> Self {
         let hosts = heard + missing.len();
         let whole = missing.is_empty();
-        missing.truncate(NAMED);
+        missing.truncate(MAX_NAMED_HOSTS);
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
         Self { heard: count(heard), hosts: count(hosts), whole, missing }
     }
@@ -75,7 +75,7 @@
 
 /// The mesh as heard.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Mesh {
+pub struct MeshStatus {
     /// How much of the mesh this covers.
     pub coverage: Coverage,
     /// Number of the newest version that any node runs.
@@ -99,15 +99,15 @@
 }
 
 /// Puts `answers` together at wall-clock time `unix_ms`; the hosts of `missing` did not answer.
-pub fn mesh(answers: &[status::Status], missing: Vec<SmolStr>, unix_ms: u64) -> Mesh {
+pub fn mesh(answers: &[status::Status], missing: Vec<SmolStr>, unix_ms: u64) -> MeshStatus {
     let newest = answers.iter().map(|a| a.version).max().unwrap_or(0);
     let runs_newest = || answers.iter().filter(|a| a.version == newest);
     let newest_unix_ms = runs_newest().filter_map(|a| a.applied_unix_ms).min();
     let age = newest_unix_ms.map_or(0, |first| unix_ms.saturating_sub(first));
     let mut behind = behind(answers, newest, age);
     let count = u32::try_from(behind.len()).unwrap_or(u32::MAX);
-    behind.truncate(NAMED);
-    Mesh {
+    behind.truncate(MAX_NAMED_HOSTS);
+    MeshStatus {
         coverage: Coverage::new(answers.len(), missing),
         newest,
         digest: runs_newest().next().map(|a| a.digest.clone()).unwrap_or_default(),
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -5,16 +5,16 @@
 use std::net;
 
 pub mod announce;
-pub mod ask;
 pub mod calls;
+pub mod mesh_status;
 pub mod metrics;
+pub mod query;
 pub mod reply;
 pub mod scatter;
 pub mod server;
 pub mod shell;
 pub mod state;
 pub mod status;
-pub mod whole;
 
 #[cfg(test)]
 mod tests;
--- a/src/admin/ask.rs
+++ b/src/admin/query.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 
 /// Largest answer accepted, in bytes.
-const ANSWER_BYTES: usize = 32 << 20;
+const MAX_ANSWER_BYTES: usize = 32 << 20;
 
 /// Why there is no answer.
 #[derive(Debug, thiserror::Error)]
@@ -65,7 +65,7 @@
     let answer = async {
         let answer = sender.send_request(request).await.map_err(broken)?;
         let status = answer.status();
-        let body = Limited::new(answer.into_body(), ANSWER_BYTES).collect().await;
+        let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES).collect().await;
         let body = body.map_err(|e| Error::Answer(node, e))?.to_bytes();
         if status.is_success() { Ok(body) } else { Err(Error::Status(node, status)) }
     };
--- a/src/admin/scatter.rs
+++ b/src/admin/scatter.rs
@@ -13,9 +13,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     /// Hosts asked at once.
-    pub width: usize,
+    pub concurrency: usize,
     /// Longest the whole may take.
-    pub whole: time::Duration,
+    pub timeout: time::Duration,
 }
 
 /// What came back.
@@ -39,10 +39,10 @@
         let answer = ask(host);
         async move { (host, answer.await) }
     });
-    let mut arriving = stream::iter(asked).buffer_unordered(limits.width.max(1));
+    let mut arriving = stream::iter(asked).buffer_unordered(limits.concurrency.max(1));
     let mut answers = Vec::with_capacity(hosts.len());
     let mut heard = Vec::with_capacity(hosts.len());
-    let limit = tokio::time::sleep(limits.whole);
+    let limit = tokio::time::sleep(limits.timeout);
     tokio::pin!(limit);
     loop {
         let arrived = tokio::select! {
@@ -66,7 +66,7 @@
 }
 
 /// The hosts of `view` but `own`, those first that probably answer.
-pub fn others(view: &view::View, own: host::HostId) -> Vec<host::HostId> {
+pub fn other_hosts(view: &view::View, own: host::HostId) -> Vec<host::HostId> {
     let mut hosts: Vec<&view::Host> = view.hosts.iter().filter(|h| h.id != own).collect();
     hosts.sort_by_key(|h| (h.health, h.id));
     hosts.into_iter().map(|h| h.id).collect()
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -24,10 +24,10 @@
 const INSTANCES: &str = "/upstream/";
 
 /// Largest announcement accepted, in bytes.
-const BODY_BYTES: usize = 4096;
+const MAX_BODY_BYTES: usize = 4096;
 
 /// Longest a client may take to send the head of a request.
-const HEAD_LIMIT: time::Duration = time::Duration::from_secs(5);
+const HEAD_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
 /// How long the listener rests after a failed accept.
 const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(50);
@@ -59,7 +59,7 @@
         async move { Ok::<_, std::convert::Infallible>(handle(&state, peer.ip(), request).await) }
     });
     let mut builder = http1::Builder::new();
-    builder.timer(rt::TokioTimer::new()).header_read_timeout(HEAD_LIMIT);
+    builder.timer(rt::TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT);
     let served = builder.serve_connection(rt::TokioIo::new(stream), handler).await;
     if let Err(error) = served {
         log::debug!(error:% = error; "a connection for operators ended");
@@ -144,7 +144,7 @@
     match state.announce(instance, announcement) {
         Ok(()) => reply::empty(),
         // It is kept, or there is nothing in it to mend.
-        Err(fault) if fault.is_heard() => reply::problem(http::StatusCode::ACCEPTED, fault),
+        Err(fault) if fault.is_conclusive() => reply::problem(http::StatusCode::ACCEPTED, fault),
         Err(fault) => reply::problem(http::StatusCode::UNPROCESSABLE_ENTITY, fault),
     }
 }
@@ -173,6 +173,6 @@
 }
 
 async fn read(body: body::Incoming) -> Option<Bytes> {
-    let collected = Limited::new(body, BODY_BYTES).collect().await.ok()?;
+    let collected = Limited::new(body, MAX_BODY_BYTES).collect().await.ok()?;
     Some(collected.to_bytes())
 }
--- a/src/admin/shell.rs
+++ b/src/admin/shell.rs
@@ -24,10 +24,10 @@
 use crate::view;
 
 /// How often leases are looked at.
-const TICK: time::Duration = time::Duration::from_millis(250);
+const LEASE_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
 /// Longest wait for the last counts of the call path at the end.
-const LAST: time::Duration = time::Duration::from_millis(1500);
+const FINAL_COUNTS_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
 
 /// What joins the reports duty to the others.
 #[derive(Debug)]
@@ -88,13 +88,13 @@
         metrics: wiring.metrics,
         stage: stage.clone(),
         traffic: wiring.traffic,
-        desk: RefCell::new(announce::Desk::new(
+        announcements: RefCell::new(announce::Registry::new(
             address.ip(),
             time::Duration::from_millis(settings.admin.lease_ms),
         )),
         book: RefCell::new(book::Book::new(ctx.clock.unix_millis())),
         applied_unix_ms: Cell::new(None),
-        reports: Semaphore::new(state::REPORTS),
+        reports: Semaphore::new(state::MAX_REPORTS),
     });
     let connections = usize::from(settings.admin.connections);
     let mut tasks = vec![task::spawn_local(follow(Rc::clone(&state)))];
@@ -106,7 +106,7 @@
     // A dropped sender means that the process ends, too.
     let _ = stage.wait_for(|&stage| stage == node::Stage::End).await;
     // The call path ends at the same time and hands over its last counts.
-    let _ = tokio::time::timeout(LAST, &mut counting).await;
+    let _ = tokio::time::timeout(FINAL_COUNTS_TIMEOUT, &mut counting).await;
     counting.abort();
     tasks.iter().for_each(task::JoinHandle::abort);
     Ok(())
@@ -116,7 +116,7 @@
 async fn follow(state: Rc<state::State>) {
     let mut applied = state.applied.clone();
     applied.mark_changed();
-    let mut tick = tokio::time::interval(TICK);
+    let mut tick = tokio::time::interval(LEASE_CHECK_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
@@ -127,7 +127,7 @@
                 let runs = applied.borrow_and_update().version_id.version.number() > 0;
                 state.applied_unix_ms.set(runs.then(|| state.ctx.clock.unix_millis()));
             }
-            _ = tick.tick() => state.desk.borrow_mut().expire(state.ctx.now()),
+            _ = tick.tick() => state.announcements.borrow_mut().expire(state.ctx.now()),
         }
         state.publish();
     }
--- a/src/admin/state.rs
+++ b/src/admin/state.rs
@@ -8,7 +8,7 @@
 use smol_str::SmolStr;
 use tokio::sync::{Semaphore, watch};
 
-use crate::admin::{announce, ask, metrics, scatter, status, whole};
+use crate::admin::{announce, mesh_status, metrics, query, scatter, status};
 use crate::burn::{book, report};
 use crate::clock::Clock as _;
 use crate::configs;
@@ -22,7 +22,7 @@
 use crate::view;
 
 /// Reports on the whole mesh made at once.
-pub(super) const REPORTS: usize = 2;
+pub(super) const MAX_REPORTS: usize = 2;
 
 /// What the connections of the port share.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
     pub(super) metrics: metrics::Metrics,
     pub(super) stage: watch::Receiver<node::Stage>,
     pub(super) traffic: Arc<traffic::Traffic>,
-    pub(super) desk: RefCell<announce::Desk>,
+    pub(super) announcements: RefCell<announce::Registry>,
     pub(super) book: RefCell<book::Book>,
     /// When the applied configuration was seen, in milliseconds since the Unix epoch.
     pub(super) applied_unix_ms: Cell<Option<u64>>,
@@ -67,7 +67,7 @@
 impl State {
     /// Whether `peer` may announce an upstream.
     pub fn admits(&self, peer: std::net::IpAddr) -> bool {
-        self.desk.borrow().admits(peer)
+        self.announcements.borrow().admits(peer)
     }
 
     /// Takes an announcement.
@@ -81,29 +81,30 @@
         announcement: announce::Announcement,
     ) -> Result<(), announce::Fault> {
         let mesh = Arc::clone(&self.applied.borrow().mesh);
-        let result = self.desk.borrow_mut().announce(instance, announcement, self.ctx.now(), &mesh);
+        let result =
+            self.announcements.borrow_mut().announce(instance, announcement, self.ctx.now(), &mesh);
         self.publish();
         result
     }
 
     /// Takes the announcement back.
     pub fn withdraw(&self, instance: &SmolStr, withdrawal: announce::Withdrawal) {
-        self.desk.borrow_mut().withdraw(instance, withdrawal.born);
+        self.announcements.borrow_mut().withdraw(instance, withdrawal.born);
         self.publish();
     }
 
     /// Tells the other duties which upstream is beside this node.
     pub(super) fn publish(&self) {
         let mesh = Arc::clone(&self.applied.borrow().mesh);
-        let mut local = self.desk.borrow().local(&mesh);
+        let mut local = self.announcements.borrow().local(&mesh);
         if let Some(local) = &mut local {
             local.upstream.trial = *self.trial.borrow();
         }
         self.local.send_if_modified(|held| {
             let changed = held.as_deref() != local.as_ref();
             if changed {
-                if !is_like(held.as_deref(), local.as_ref()) {
-                    tell(local.as_ref());
+                if !equal_except_trial(held.as_deref(), local.as_ref()) {
+                    log_upstream(local.as_ref());
                 }
                 *held = local.map(Arc::new);
             }
@@ -144,13 +145,13 @@
     }
 
     /// The status of the mesh; `None` when too many such reports are being made.
-    pub async fn mesh_status(&self) -> Option<whole::Mesh> {
+    pub async fn mesh_status(&self) -> Option<mesh_status::MeshStatus> {
         let _place = self.reports.try_acquire().ok()?;
         let mut gathered = self.gather::<status::Status>("/status").await;
         gathered.answers.push(self.status());
         let missing = gathered.missing.iter().map(|h| smol_str::format_smolstr!("{h}"));
         let missing: Vec<SmolStr> = missing.collect();
-        Some(whole::mesh(&gathered.answers, missing, self.ctx.clock.unix_millis()))
+        Some(mesh_status::mesh(&gathered.answers, missing, self.ctx.clock.unix_millis()))
     }
 
     /// What this node counted for the objectives of its configuration.
@@ -170,18 +171,21 @@
 
     /// Asks all other nodes for `path`.
     async fn gather<T: serde::de::DeserializeOwned>(&self, path: &str) -> scatter::Gathered<T> {
-        let hosts = scatter::others(&self.view.borrow(), self.host);
+        let hosts = scatter::other_hosts(&self.view.borrow(), self.host);
         let limits = scatter::Limits {
-            width: usize::from(self.settings.scatter),
-            whole: time::Duration::from_millis(self.settings.report_ms),
+            concurrency: usize::from(self.settings.scatter),
+            timeout: time::Duration::from_millis(self.settings.report_ms),
         };
         let limit = time::Duration::from_millis(self.settings.answer_ms);
-        scatter::gather(&hosts, limits, |host| ask::json(host.admin_addr(), path, limit)).await
+        scatter::gather(&hosts, limits, |host| query::json(host.admin_addr(), path, limit)).await
     }
 }
 
 /// Whether both are the same but for what was seen of their answers.
-fn is_like(old: Option<&node::LocalUpstream>, new: Option<&node::LocalUpstream>) -> bool {
+fn equal_except_trial(
+    old: Option<&node::LocalUpstream>,
+    new: Option<&node::LocalUpstream>,
+) -> bool {
     let (Some(old), Some(new)) = (old, new) else { return old.is_none() && new.is_none() };
     let mut seen = new.clone();
     seen.upstream.trial = old.upstream.trial;
@@ -189,7 +193,7 @@
 }
 
 /// Logs what the node believes of its upstream from now on.
-fn tell(local: Option<&node::LocalUpstream>) {
+fn log_upstream(local: Option<&node::LocalUpstream>) {
     let Some(local) = local else { return log::info!("no upstream is beside this node") };
     let upstream = &local.upstream;
     log::info!(
--- a/src/admin/tests/announce.rs
+++ b/src/admin/tests/announce.rs
@@ -8,7 +8,7 @@
 use smol_str::SmolStr;
 
 use super::shop;
-use crate::admin::announce::{Announcement, Desk, Fault, Phase};
+use crate::admin::announce::{Announcement, Fault, Phase, Registry};
 use crate::clock;
 use crate::mesh;
 use crate::view;
@@ -16,8 +16,8 @@
 const HOST: net::IpAddr = net::IpAddr::V4(net::Ipv4Addr::new(10, 1, 2, 3));
 const LEASE: time::Duration = time::Duration::from_millis(6000);
 
-fn desk() -> Desk {
-    Desk::new(HOST, LEASE)
+fn desk() -> Registry {
+    Registry::new(HOST, LEASE)
 }
 
 fn announcement() -> Announcement {
@@ -173,7 +173,7 @@
     Announcement { born: Some(born), sequence, phase, ..announcement() }
 }
 
-fn life(desk: &Desk) -> Option<(u32, view::Phase)> {
+fn life(desk: &Registry) -> Option<(u32, view::Phase)> {
     desk.local(&shop()).map(|local| (local.upstream.incarnation, local.upstream.phase))
 }
 
--- a/src/admin/tests/report.rs
+++ b/src/admin/tests/report.rs
@@ -6,7 +6,7 @@
 
 use smol_str::SmolStr;
 
-use crate::admin::{scatter, status, whole};
+use crate::admin::{mesh_status, scatter, status};
 use crate::host;
 use crate::logs::reachability;
 
@@ -35,7 +35,7 @@
 #[test]
 fn versions_are_counted_by_zone_and_nodes_behind_named() {
     let answers = [answer(1, "a", 7, 1500), answer(2, "a", 5, 900), answer(3, "b", 7, 1400)];
-    let mesh = whole::mesh(&answers, Vec::new(), 2000);
+    let mesh = mesh_status::mesh(&answers, Vec::new(), 2000);
     assert!(mesh.coverage.whole);
     assert_eq!((mesh.newest, mesh.newest_unix_ms, mesh.behind), (7, Some(1400), 1));
     assert_eq!(mesh.behind_hosts[0].host, "10.0.0.2:7100");
@@ -47,7 +47,7 @@
 #[test]
 fn a_partial_report_says_so() {
     let answers = [answer(1, "a", 7, 1500)];
-    let mesh = whole::mesh(&answers, vec!["10.0.0.2:7100".into()], 2000);
+    let mesh = mesh_status::mesh(&answers, vec!["10.0.0.2:7100".into()], 2000);
     assert_eq!((mesh.coverage.heard, mesh.coverage.hosts, mesh.coverage.whole), (1, 2, false));
     assert_eq!(mesh.coverage.missing, ["10.0.0.2:7100"]);
 }
@@ -57,7 +57,7 @@
     let mut answers = [answer(1, "a", 7, 0), answer(2, "a", 7, 0), answer(3, "a", 7, 0)];
     answers[0].log = reachability::Reachability::Fails { since_unix_ms: 800 };
     answers[1].log = reachability::Reachability::Fails { since_unix_ms: 700 };
-    let log = whole::mesh(&answers, Vec::new(), 2000).log;
+    let log = mesh_status::mesh(&answers, Vec::new(), 2000).log;
     assert_eq!((log.answers, log.fails, log.unasked), (0, 2, 1));
     assert_eq!(log.fails_since_unix_ms, Some(700));
 }
@@ -65,7 +65,7 @@
 #[tokio::test(start_paused = true)]
 async fn hosts_that_fail_or_hang_are_missing_and_bounded() {
     let hosts: Vec<_> = (0..100).map(host).collect();
-    let limits = scatter::Limits { width: 10, whole: time::Duration::from_secs(5) };
+    let limits = scatter::Limits { concurrency: 10, timeout: time::Duration::from_secs(5) };
     let running = std::cell::Cell::new(0usize);
     let most = std::cell::Cell::new(0usize);
     let gathered = scatter::gather(&hosts, limits, |host| {
--- a/src/admin/tests/served.rs
+++ b/src/admin/tests/served.rs
@@ -8,7 +8,7 @@
 use tokio::task;
 
 use super::shop;
-use crate::admin::{ask, metrics, shell, status, whole};
+use crate::admin::{mesh_status, metrics, query, shell, status};
 use crate::configs;
 use crate::context;
 use crate::host;
@@ -202,7 +202,8 @@
         let own: status::Status = serde_json::from_str(&text).expect("a status");
         assert_eq!((code, own.version, own.members.alive), (200, 3, 3));
         let to = one.host.admin_addr();
-        let mesh: whole::Mesh = ask::json(to, "/status?mesh=1", LIMIT).await.expect("a report");
+        let mesh: mesh_status::MeshStatus =
+            query::json(to, "/status?mesh=1", LIMIT).await.expect("a report");
         assert_eq!((mesh.coverage.heard, mesh.coverage.hosts, mesh.coverage.whole), (2, 3, false));
         assert_eq!(mesh.coverage.missing, [absent.to_string()]);
         assert_eq!((mesh.newest, mesh.behind, mesh.unready), (3, 1, 1));
--- a/src/burn/report.rs
+++ b/src/burn/report.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-use crate::admin::whole;
+use crate::admin::mesh_status;
 use crate::burn::{self, Alert, Ratio, book};
 
 /// What an objective is about.
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Report {
     /// How much of the mesh this covers. What is not whole counts only the nodes heard.
-    pub coverage: whole::Coverage,
+    pub coverage: mesh_status::Coverage,
     /// When the node that counts for the shortest time began, in milliseconds since the Unix
     /// epoch: a node counts from its start on, and a period that began before is not whole.
     pub since_unix_ms: u64,
@@ -66,7 +66,7 @@
         worse.then_with(|| (&a.service, a.objective).cmp(&(&b.service, b.objective)))
     });
     Report {
-        coverage: whole::Coverage::new(pages.len(), missing),
+        coverage: mesh_status::Coverage::new(pages.len(), missing),
         since_unix_ms: pages.iter().map(|page| page.since_unix_ms).max().unwrap_or(0),
         lines,
     }
--- a/src/cli/ask.rs
+++ b/src/cli/ask.rs
@@ -7,11 +7,11 @@
 
 use serde::Serialize;
 
-use crate::admin::{ask, whole};
+use crate::admin::{mesh_status, query};
 use crate::cli::exit;
 
 /// Longest a node may take for a report on the whole mesh.
-const LIMIT: time::Duration = time::Duration::from_secs(30);
+const REPORT_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
 const DAY_S: u64 = 86_400;
 
@@ -38,8 +38,8 @@
     path: &str,
 ) -> Result<T, exit::Failure> {
     run(async {
-        ask::json(node, path, LIMIT).await.map_err(|error| match error {
-            ask::Error::Status(..) => exit::Failure::Refused(error.into()),
+        query::json(node, path, REPORT_TIMEOUT).await.map_err(|error| match error {
+            query::Error::Status(..) => exit::Failure::Refused(error.into()),
             error => exit::Failure::Unreachable(error.into()),
         })
     })
@@ -66,7 +66,7 @@
 }
 
 /// How much of the mesh a report covers, as a line.
-pub fn coverage(coverage: &whole::Coverage) -> String {
+pub fn coverage(coverage: &mesh_status::Coverage) -> String {
     let heard = format!("heard from {} of {} nodes", coverage.heard, coverage.hosts);
     if coverage.whole {
         return format!("{heard}\n");
--- a/src/cli/ask/tests.rs
+++ b/src/cli/ask/tests.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 
 use super::{coverage, moment};
-use crate::admin::whole;
+use crate::admin::mesh_status;
 
 #[rstest]
 #[case(0, "1970-01-01T00:00:00Z")]
@@ -17,9 +17,9 @@
 
 #[test]
 fn a_partial_report_names_who_is_missing() {
-    let whole = whole::Coverage::new(3, Vec::new());
+    let whole = mesh_status::Coverage::new(3, Vec::new());
     assert_eq!(coverage(&whole), "heard from 3 of 3 nodes\n");
-    let partial = whole::Coverage::new(3, vec!["10.0.0.1:7100".into()]);
+    let partial = mesh_status::Coverage::new(3, vec!["10.0.0.1:7100".into()]);
     let text = coverage(&partial);
     assert_eq!(text, "PARTIAL: heard from 3 of 4 nodes; no answer from 10.0.0.1:7100\n");
 }
--- a/src/cli/follow.rs
+++ b/src/cli/follow.rs
@@ -8,12 +8,12 @@
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use serde::Serialize;
 
-use crate::admin::whole;
+use crate::admin::mesh_status;
 use crate::cli::{ask, exit};
 use crate::version;
 
 /// Time between two looks at the mesh.
-const LOOK: time::Duration = time::Duration::from_millis(200);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
 /// Why following ended before every node ran the version.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
@@ -45,7 +45,7 @@
 
 impl Progress {
     /// How far `version` has come in `mesh`.
-    pub fn new(version: version::Version, mesh: &whole::Mesh) -> Self {
+    pub fn new(version: version::Version, mesh: &mesh_status::MeshStatus) -> Self {
         let rows = mesh.running.iter().filter(|row| row.version >= version.number());
         Self {
             version: version.number(),
@@ -72,7 +72,7 @@
     limit: time::Duration,
 ) -> Result<(), exit::Failure> {
     let end = time::Instant::now() + limit;
-    let shown = Shown::new();
+    let shown = ProgressDisplay::new();
     loop {
         let progress = Progress::new(version, &ask::node(node, "/status?mesh=1")?);
         shown.show(&progress);
@@ -83,14 +83,14 @@
             let Progress { running, hosts, .. } = progress;
             return Err(exit::Failure::Refused(Error::Late { version, running, hosts }.into()));
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
 /// Where progress is shown.
-struct Shown(Option<ProgressBar>);
+struct ProgressDisplay(Option<ProgressBar>);
 
-impl Shown {
+impl ProgressDisplay {
     fn new() -> Self {
         if !io::stderr().is_terminal() {
             return Self(None);
--- a/src/cli/logging.rs
+++ b/src/cli/logging.rs
@@ -31,7 +31,7 @@
 /// # Errors
 ///
 /// The thread that writes can't be started.
-pub fn serve() -> io::Result<sink::Sink> {
+pub fn init_node() -> io::Result<sink::Sink> {
     let sink = sink::Sink::start(io::stdout())?;
     start(env_logger::Target::Pipe(Box::new(sink.clone())));
     Ok(sink)
--- a/src/cli/logging/sink.rs
+++ b/src/cli/logging/sink.rs
@@ -11,16 +11,16 @@
 use std::time;
 
 /// Lines that wait to be written: some seconds of a node that refuses much, about 2 MB.
-const LINES: usize = 8192;
+const MAX_QUEUED_LINES: usize = 8192;
 
 /// Lines written at once.
 const BATCH: usize = 256;
 
 /// Longest that a process which ends waits for its last lines.
-const FLUSH: time::Duration = time::Duration::from_millis(300);
+const FLUSH_TIMEOUT: time::Duration = time::Duration::from_millis(300);
 
 /// Pause before a full ring is tried again.
-const FULL: time::Duration = time::Duration::from_millis(2);
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(2);
 
 /// What goes through the ring.
 enum Item {
@@ -42,7 +42,7 @@
     ///
     /// The thread can't be started.
     pub fn start<W: Write + Send + 'static>(output: W) -> io::Result<Self> {
-        let (items, queue) = mpsc::sync_channel(LINES);
+        let (items, queue) = mpsc::sync_channel(MAX_QUEUED_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
         let counted = Arc::clone(&dropped);
         thread::Builder::new().name("log".to_owned()).spawn(move || {
@@ -54,14 +54,14 @@
     /// Waits a short time until what was written before is out.
     pub fn flush_lines(&self) {
         let (done, wait) = mpsc::sync_channel(1);
-        let end = time::Instant::now() + FLUSH;
+        let end = time::Instant::now() + FLUSH_TIMEOUT;
         let mut item = Item::Flush(done);
         while let Err(mpsc::TrySendError::Full(back)) = self.items.try_send(item) {
             if time::Instant::now() >= end {
                 return;
             }
             item = back;
-            thread::sleep(FULL);
+            thread::sleep(RETRY_DELAY);
         }
         // Without an answer in time the reader of the log does not read.
         let _ = wait.recv_timeout(end.saturating_duration_since(time::Instant::now()));
--- a/src/cli/losses.rs
+++ b/src/cli/losses.rs
@@ -13,10 +13,10 @@
 mod tests;
 
 /// Line of an attempt without an answer; the last one of a call says that none follows.
-const ATTEMPT: &str = "an attempt brought no answer";
+const ATTEMPT_MESSAGE: &str = "an attempt brought no answer";
 
 /// Length of `2026-01-01T00:00:00`: a time up to its second.
-const SECOND: usize = 19;
+const SECOND_LENGTH: usize = 19;
 
 /// Arguments of `dandelionspool losses`.
 #[derive(Bpaf, Clone, Debug)]
@@ -73,7 +73,7 @@
                 continue;
             };
             self.skipped += line["skipped"].as_u64().unwrap_or_default();
-            if line["msg"] == ATTEMPT && line["again"] == false {
+            if line["msg"] == ATTEMPT_MESSAGE && line["again"] == false {
                 *self.calls.entry(loss(&line)).or_default() += 1;
             }
         }
@@ -84,7 +84,7 @@
     let text = |name: &str| line[name].as_str().unwrap_or_default().to_owned();
     let time = text("ts");
     Loss {
-        second: time.get(..SECOND).unwrap_or(&time).to_owned(),
+        second: time.get(..SECOND_LENGTH).unwrap_or(&time).to_owned(),
         route: text("route"),
         service: text("service"),
         inner: line["inner"] == true,
--- a/src/cli/node.rs
+++ b/src/cli/node.rs
@@ -15,7 +15,7 @@
 use crate::ring;
 
 /// Room for requests to stop.
-const STOPS: usize = 2;
+const STOP_QUEUE: usize = 2;
 
 /// Arguments of `dandelionspool node`.
 #[derive(Bpaf, Clone, Debug)]
@@ -42,7 +42,7 @@
 /// Settings that can't be used, a duty that failed.
 pub fn run_with<P: ports::Ports>(path: &path::Path, ports: P) -> Result<(), exit::Failure> {
     let settings = configs::load(path).map_err(|e| exit::Failure::Input(e.into()))?;
-    let lines = logging::serve().map_err(|e| exit::Failure::Refused(e.into()))?;
+    let lines = logging::init_node().map_err(|e| exit::Failure::Refused(e.into()))?;
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| exit::Failure::Refused(e.into()))?;
     let result = runtime.block_on(serve(path, settings, ports));
@@ -61,7 +61,7 @@
     log::info!(listen:% = settings.listen, zone:% = settings.zone; "node starts");
     let running = node::shell::Node::start(context::Context::system(), settings.clone(), ports);
     let running = running.map_err(|e| exit::Failure::Refused(e.into()))?;
-    let (stop, stops) = ring::bounded(STOPS);
+    let (stop, stops) = ring::bounded(STOP_QUEUE);
     tokio::spawn(async move {
         loop {
             signals.next().await;
--- a/src/cli/publish.rs
+++ b/src/cli/publish.rs
@@ -20,7 +20,7 @@
 use crate::version;
 
 /// Longest one request may take, in milliseconds.
-const REQUEST_MS: u64 = 2000;
+const REQUEST_TIMEOUT_MS: u64 = 2000;
 
 /// Arguments of `dandelionspool publish`.
 #[derive(Bpaf, Clone, Debug)]
@@ -111,7 +111,7 @@
 fn send(args: &Args, publish: record::Publish) -> Result<Answer, exit::Failure> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| exit::Failure::Unreachable(e.into()))?;
-    let append_ms = args.wait_ms.clamp(1, REQUEST_MS);
+    let append_ms = args.wait_ms.clamp(1, REQUEST_TIMEOUT_MS);
     let log = configs::log::Log { address: args.log, append_ms, ..configs::log::Log::default() };
     let limit = time::Duration::from_millis(args.wait_ms);
     let seed = context::Context::system().seed_for("publish");
@@ -125,7 +125,7 @@
     let publish_id = id.to_string();
     let answer = match answer {
         Ok(answer) => answer,
-        Err(error) => return Err(untold(args, error, publish_id)),
+        Err(error) => return Err(submit_failure(args, error, publish_id)),
     };
     match answer.outcome {
         outcomes::Outcome::Accepted(stamp) => {
@@ -145,7 +145,11 @@
     }
 }
 
-fn untold(args: &Args, error: submit::Error<http::Error>, publish_id: String) -> exit::Failure {
+fn submit_failure(
+    args: &Args,
+    error: submit::Error<http::Error>,
+    publish_id: String,
+) -> exit::Failure {
     match &error {
         submit::Error::Unreachable { uncertain, .. } => {
             print(args, &Verdict::Unreachable { uncertain: *uncertain, publish_id });
--- a/src/cli/report.rs
+++ b/src/cli/report.rs
@@ -18,7 +18,7 @@
 const HOUR_MS: u64 = 3_600_000;
 
 /// Records read at once.
-const BATCH: u32 = 256;
+const BATCH_RECORDS: u32 = 256;
 
 /// Arguments of `dandelionspool report`.
 #[derive(Bpaf, Clone, Debug)]
@@ -139,7 +139,8 @@
     let mut first = None;
     let mut oldest_unix_ms = None;
     loop {
-        let batch = log.read(logs::streams::USAGE, from, BATCH, time::Duration::ZERO).await?;
+        let batch =
+            log.read(logs::streams::USAGE, from, BATCH_RECORDS, time::Duration::ZERO).await?;
         first.get_or_insert(batch.first);
         let Some(last) = batch.records.last() else { break };
         from = last.offset + 1;
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -4,7 +4,7 @@
 
 use bpaf::Bpaf;
 
-use crate::admin::whole;
+use crate::admin::mesh_status;
 use crate::cli::{ask, exit};
 
 /// Arguments of `dandelionspool status`.
@@ -23,11 +23,11 @@
 ///
 /// The node can't be reached or refuses.
 pub fn run(args: &Args) -> Result<(), exit::Failure> {
-    let mesh: whole::Mesh = ask::node(args.node, "/status?mesh=1")?;
+    let mesh: mesh_status::MeshStatus = ask::node(args.node, "/status?mesh=1")?;
     ask::print(args.json, &mesh, text)
 }
 
-fn text(mesh: &whole::Mesh) -> String {
+fn text(mesh: &mesh_status::MeshStatus) -> String {
     let mut text = ask::coverage(&mesh.coverage);
     let since = mesh.newest_unix_ms.map(ask::moment).unwrap_or_default();
     text += &format!("newest version {} ({}), first run {since}\n", mesh.newest, mesh.digest);
@@ -52,7 +52,7 @@
     text
 }
 
-fn log(log: &whole::Log) -> String {
+fn log(log: &mesh_status::Log) -> String {
     let counts = format!(
         "{} nodes get answers, {} get none, {} have not asked",
         log.answers, log.fails, log.unasked
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -17,7 +17,7 @@
 mod tests;
 
 /// Fields that every line has, or that tell nothing of the call.
-const PLAIN: [&str; 6] = ["id", "level", "msg", "sample", "skipped", "target"];
+const HIDDEN_FIELDS: [&str; 6] = ["id", "level", "msg", "sample", "skipped", "target"];
 
 /// Arguments of `dandelionspool trace`.
 #[derive(Bpaf, Clone, Debug)]
@@ -83,12 +83,12 @@
                 continue;
             };
             if line["msg"] == "node starts" {
-                log.node = word(&line["listen"]);
+                log.node = plain_text(&line["listen"]);
             }
             if line["id"] != id {
                 continue;
             }
-            let lines = if is_owners(&line) { &mut log.owner } else { &mut log.entry };
+            let lines = if is_owner_line(&line) { &mut log.owner } else { &mut log.entry };
             lines.push(line);
         }
         log
@@ -96,7 +96,7 @@
 }
 
 /// Whether the upstream's own node wrote `line`.
-fn is_owners(line: &Value) -> bool {
+fn is_owner_line(line: &Value) -> bool {
     line["msg"] == "the upstream ran a call"
         || line["msg"] == "the upstream's node did not let a call in"
 }
@@ -113,12 +113,12 @@
             if let Some(said) = owners.get_mut(host).and_then(collections::VecDeque::pop_front) {
                 text += &show("    ", &format!("upstream's node {host}"), said);
             } else if host.is_empty() {
-                text += &rest(&mut owners);
+                text += &remaining(&mut owners);
             }
             text += &show("  ", "entry", line);
         }
     }
-    text += &rest(&mut owners);
+    text += &remaining(&mut owners);
     let broken: usize = logs.iter().map(|log| log.broken).sum();
     if !text.is_empty() && broken > 0 {
         text += &format!("{broken} lines are not JSON and were left out\n");
@@ -127,7 +127,7 @@
 }
 
 /// What upstreams' nodes say that no line of the entry speaks of.
-fn rest(owners: &mut collections::BTreeMap<&str, collections::VecDeque<&Value>>) -> String {
+fn remaining(owners: &mut collections::BTreeMap<&str, collections::VecDeque<&Value>>) -> String {
     let lines = owners.iter_mut().flat_map(|(node, lines)| lines.drain(..).map(move |l| (node, l)));
     lines.map(|(node, line)| show("    ", &format!("upstream's node {node}"), line)).collect()
 }
@@ -135,12 +135,13 @@
 /// One line of a log: who wrote it, what happened, and its inputs.
 fn show(indent: &str, who: &str, line: &Value) -> String {
     let fields = line.as_object().into_iter().flatten();
-    let fields = fields.filter(|(name, _)| !PLAIN.contains(&name.as_str()));
-    let fields: Vec<_> = fields.map(|(name, value)| format!("{name}={}", word(value))).collect();
-    format!("{indent}{who}: {}\n{indent}  {}\n", word(&line["msg"]), fields.join(" "))
+    let fields = fields.filter(|(name, _)| !HIDDEN_FIELDS.contains(&name.as_str()));
+    let fields: Vec<_> =
+        fields.map(|(name, value)| format!("{name}={}", plain_text(value))).collect();
+    format!("{indent}{who}: {}\n{indent}  {}\n", plain_text(&line["msg"]), fields.join(" "))
 }
 
 /// A value without the quotes of JSON.
-fn word(value: &Value) -> String {
+fn plain_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
--- a/src/configs/limits.rs
+++ b/src/configs/limits.rs
@@ -13,7 +13,7 @@
 mod tests;
 
 /// Shortest key, in bytes.
-const KEY_BYTES: usize = 16;
+const MIN_KEY_BYTES: usize = 16;
 
 const HOUR_MS: u64 = 3_600_000;
 const GIGABYTE: u64 = 1_073_741_824;
@@ -26,13 +26,13 @@
     /// Pointer to the number.
     pub pointer: &'static str,
     /// Smallest value allowed.
-    pub least: u64,
+    pub min: u64,
     /// Largest value allowed.
-    pub most: u64,
+    pub max: u64,
 }
 
-const fn limit(pointer: &'static str, least: u64, most: u64) -> Limit {
-    Limit { pointer, least, most }
+const fn limit(pointer: &'static str, min: u64, max: u64) -> Limit {
+    Limit { pointer, min, max }
 }
 
 /// Range of each number among the settings of a node.
@@ -135,14 +135,14 @@
 ];
 
 impl load::Settings for configs::Node {
-    fn place(preset: Value) -> Value {
+    fn nest_preset(preset: Value) -> Value {
         preset
     }
 
-    fn inspect(tree: &Value, faults: &mut Vec<fault::Fault>) {
+    fn validate(tree: &Value, faults: &mut Vec<fault::Fault>) {
         inspect(tree, faults);
         check_length(tree, "/mesh", 1, faults);
-        check_length(tree, "/key", KEY_BYTES, faults);
+        check_length(tree, "/key", MIN_KEY_BYTES, faults);
         check_length(tree, "/region", 1, faults);
         check_length(tree, "/zone", 1, faults);
         check_address(tree, "/listen", faults);
@@ -161,10 +161,10 @@
 pub fn check_limit(tree: &Value, limit: Limit, faults: &mut Vec<fault::Fault>) {
     let Some(Value::Number(number)) = tree.pointer(limit.pointer) else { return };
     let Some(value) = number.as_f64() else { return };
-    let (bound, limit_value) = if value < limit.least as f64 {
-        (fault::Bound::AtLeast, limit.least)
-    } else if value > limit.most as f64 {
-        (fault::Bound::AtMost, limit.most)
+    let (bound, limit_value) = if value < limit.min as f64 {
+        (fault::Bound::AtLeast, limit.min)
+    } else if value > limit.max as f64 {
+        (fault::Bound::AtMost, limit.max)
     } else {
         return;
     };
--- a/src/configs/load.rs
+++ b/src/configs/load.rs
@@ -15,7 +15,7 @@
 mod tests;
 
 /// Largest settings file, in bytes.
-pub const LIMIT_BYTES: usize = 64 * 1024;
+pub const MAX_FILE_BYTES: usize = 64 * 1024;
 
 /// Field that names the preset.
 const PRESET: &str = "preset";
@@ -52,11 +52,11 @@
 /// Every field has a default, nested ones too: [`read`] relies on it.
 pub trait Settings: Default + Serialize + de::DeserializeOwned {
     /// Puts a preset, which holds settings of a node, where these settings keep such.
-    fn place(preset: Value) -> Value;
+    fn nest_preset(preset: Value) -> Value;
 
     /// Adds what is out of range or at odds in the whole settings `tree` to `faults`. Values of
     /// a wrong type are left alone.
-    fn inspect(tree: &Value, faults: &mut Vec<fault::Fault>);
+    fn validate(tree: &Value, faults: &mut Vec<fault::Fault>);
 }
 
 /// Reads and checks the settings file at `path`.
@@ -81,11 +81,11 @@
     let preset = take_preset(&mut given, &mut faults);
     let mut tree = tree(&T::default())?;
     if let Some(preset) = preset {
-        merge(&mut tree, T::place(preset));
+        merge(&mut tree, T::nest_preset(preset));
     }
     merge(&mut tree, given.clone());
     let mut judged = Vec::new();
-    T::inspect(&tree, &mut judged);
+    T::validate(&tree, &mut judged);
     add_unreadable::<T>(&given, &mut judged);
     faults.append(&mut judged);
     if !faults.is_empty() {
@@ -97,13 +97,13 @@
 /// Checks settings that were made in the program.
 pub fn check<T: Settings>(settings: &T) -> Result<(), fault::Faults> {
     let mut faults = Vec::new();
-    T::inspect(&tree(settings)?, &mut faults);
+    T::validate(&tree(settings)?, &mut faults);
     if faults.is_empty() { Ok(()) } else { Err(fault::Faults::new(faults)) }
 }
 
 fn parse(body: &[u8], faults: &mut Vec<fault::Fault>) -> Result<Value, fault::Problem> {
-    if body.len() > LIMIT_BYTES {
-        return Err(fault::Problem::TooLarge { bytes: body.len(), limit: LIMIT_BYTES });
+    if body.len() > MAX_FILE_BYTES {
+        return Err(fault::Problem::TooLarge { bytes: body.len(), limit: MAX_FILE_BYTES });
     }
     let given = text::read(body, faults)?;
     if given.is_object() {
@@ -134,7 +134,7 @@
 fn add_unreadable<T: Settings>(given: &Value, faults: &mut Vec<fault::Fault>) {
     let known = faults.len();
     let mut leaves = Vec::new();
-    split(given, &mut String::new(), &mut leaves);
+    split_leaves(given, &mut String::new(), &mut leaves);
     for (pointer, alone) in leaves {
         if faults[..known].iter().any(|f| f.pointer == pointer) {
             continue;
@@ -154,12 +154,12 @@
 }
 
 /// Adds a tree for each leaf of `value`, in which that leaf stands alone, with its pointer.
-fn split(value: &Value, pointer: &mut String, leaves: &mut Vec<(String, Value)>) {
+fn split_leaves(value: &Value, pointer: &mut String, leaves: &mut Vec<(String, Value)>) {
     let length = pointer.len();
     let mut inner = |key: &str, child: &Value, wrap: &dyn Fn(Value) -> Value| {
         fault::push(pointer, key);
         let first = leaves.len();
-        split(child, pointer, leaves);
+        split_leaves(child, pointer, leaves);
         for (_, alone) in &mut leaves[first..] {
             *alone = wrap(alone.take());
         }
--- a/src/configs/local.rs
+++ b/src/configs/local.rs
@@ -18,10 +18,10 @@
 mod tests;
 
 /// Most hosts of a small mesh.
-pub const HOSTS: u64 = 250;
+pub const MAX_HOSTS: u64 = 250;
 
 /// Longest time given to a stand-in, in milliseconds.
-const MOST_MS: u64 = 600_000;
+const MAX_DURATION_MS: u64 = 600_000;
 
 /// Settings of a whole small mesh in one process, on loopback.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -132,9 +132,9 @@
         let mut hosts = Vec::new();
         let mut faults = Vec::new();
         for (class, group) in &self.upstreams {
-            match key(mesh, class) {
+            match class_key(mesh, class) {
                 Some(key) => self.add_hosts(class, key, group, &mut hosts),
-                None => faults.push(missing(class)),
+                None => faults.push(unknown_class(class)),
             }
         }
         if faults.is_empty() { Ok(hosts) } else { Err(fault::Faults::new(faults)) }
@@ -149,7 +149,7 @@
     ) {
         let zones = group.zones.iter();
         for zone in zones.flat_map(|(zone, count)| std::iter::repeat_n(zone, usize::from(*count))) {
-            let address = nth(self.listen.ip(), hosts.len());
+            let address = nth_address(self.listen.ip(), hosts.len());
             hosts.push(Host {
                 listen: net::SocketAddr::new(address, self.listen.port()),
                 upstream: net::SocketAddr::new(address, self.upstream_port),
@@ -162,11 +162,11 @@
 }
 
 impl load::Settings for Local {
-    fn place(preset: Value) -> Value {
+    fn nest_preset(preset: Value) -> Value {
         serde_json::json!({ "node": preset })
     }
 
-    fn inspect(tree: &Value, faults: &mut Vec<fault::Fault>) {
+    fn validate(tree: &Value, faults: &mut Vec<fault::Fault>) {
         let node = faults.len();
         limits::inspect(tree.get("node").unwrap_or(&Value::Null), faults);
         for fault in &mut faults[node..] {
@@ -182,9 +182,9 @@
 
 /// Range of each number that is not a setting of the nodes.
 pub const LIMITS: &[limits::Limit] = &[
-    limits::Limit { pointer: "/upstream_port", least: 1, most: u16::MAX as u64 - 1 },
-    limits::Limit { pointer: "/log/appends", least: 1, most: 1_000_000 },
-    limits::Limit { pointer: "/log/retention_s", least: 1, most: 10 * 366 * 86_400 },
+    limits::Limit { pointer: "/upstream_port", min: 1, max: u16::MAX as u64 - 1 },
+    limits::Limit { pointer: "/log/appends", min: 1, max: 1_000_000 },
+    limits::Limit { pointer: "/log/retention_s", min: 1, max: 10 * 366 * 86_400 },
 ];
 
 fn check_groups(tree: &Value, faults: &mut Vec<fault::Fault>) {
@@ -204,7 +204,7 @@
     }
     let limit = match hosts {
         0 => (fault::Bound::AtLeast, 1),
-        hosts if hosts > HOSTS => (fault::Bound::AtMost, HOSTS),
+        hosts if hosts > MAX_HOSTS => (fault::Bound::AtMost, MAX_HOSTS),
         _ => return,
     };
     faults.push(out_of_range("/upstreams", hosts, limit));
@@ -212,8 +212,8 @@
 
 fn check_millis(value: Option<&Value>, pointer: &str, faults: &mut Vec<fault::Fault>) {
     match value.and_then(Value::as_u64) {
-        Some(value) if value > MOST_MS => {
-            faults.push(out_of_range(pointer, value, (fault::Bound::AtMost, MOST_MS)));
+        Some(value) if value > MAX_DURATION_MS => {
+            faults.push(out_of_range(pointer, value, (fault::Bound::AtMost, MAX_DURATION_MS)));
         }
         _ => {}
     }
@@ -226,12 +226,12 @@
     fault::Fault::new(pointer, problem)
 }
 
-fn key(mesh: &mesh::Mesh, class: &SmolStr) -> Option<mesh::ClassKey> {
+fn class_key(mesh: &mesh::Mesh, class: &SmolStr) -> Option<mesh::ClassKey> {
     let place = mesh.classes.iter().position(|c| c.name == *class)?;
     u16::try_from(place).ok().map(mesh::ClassKey)
 }
 
-fn missing(class: &SmolStr) -> fault::Fault {
+fn unknown_class(class: &SmolStr) -> fault::Fault {
     let problem = fault::Problem::DanglingReference {
         list: "the configuration's /upstreams".to_owned(),
         name: class.clone(),
@@ -240,7 +240,7 @@
 }
 
 /// The address `n` after `first`.
-fn nth(first: net::IpAddr, n: usize) -> net::IpAddr {
+fn nth_address(first: net::IpAddr, n: usize) -> net::IpAddr {
     match first {
         net::IpAddr::V4(ip) => net::Ipv4Addr::from(u32::from(ip).wrapping_add(n as u32)).into(),
         net::IpAddr::V6(ip) => net::Ipv6Addr::from(u128::from(ip).wrapping_add(n as u128)).into(),
--- a/tests/reference_pages.rs
+++ b/tests/reference_pages.rs
@@ -147,7 +147,7 @@
         let full = format!("{place}{field}");
         let pointer = format!("/{}", full.replace('.', "/"));
         let limit = limits.iter().find(|l| l.pointer == pointer);
-        let range = limit.map_or(String::new(), |l| format!("{} to {}", l.least, l.most));
+        let range = limit.map_or(String::new(), |l| format!("{} to {}", l.min, l.max));
         row([&full, &code(value), unit(field), &range, &docs[field]])
     };
     fields.map(line).collect()
