--- a/src/admin/announce.rs
+++ b/src/admin/announce.rs
@@ -148,7 +148,7 @@
     }
 
     /// Whether the instance has nothing to mend: saying the same again would change nothing.
-    pub const fn is_conclusive(self) -> bool {
+    pub const fn needs_no_correction(self) -> bool {
         self.pending() || matches!(self, Fault::Foreign | Fault::Stale)
     }
 }
--- a/src/admin/mesh_status.rs
+++ b/src/admin/mesh_status.rs
@@ -20,7 +20,7 @@
     pub hosts: u32,
     /// Whether all of them answered. A report that is not whole counts only those that did.
     pub whole: bool,
-    /// Some of the hosts that did not answer, at most [`NAMED`].
+    /// Some of the hosts that did not answer, at most [`MAX_NAMED_HOSTS`].
     pub missing: Vec<SmolStr>,
 }
 
@@ -88,7 +88,7 @@
     pub running: Vec<Running>,
     /// How many nodes are behind.
     pub behind: u32,
-    /// Some of them, at most [`NAMED`], oldest version first.
+    /// Some of them, at most [`MAX_NAMED_HOSTS`], oldest version first.
     pub behind_hosts: Vec<Behind>,
     /// Nodes that are not ready.
     pub unready: u32,
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -144,7 +144,9 @@
     match state.announce(instance, announcement) {
         Ok(()) => reply::empty(),
         // It is kept, or there is nothing in it to mend.
-        Err(fault) if fault.is_conclusive() => reply::problem(http::StatusCode::ACCEPTED, fault),
+        Err(fault) if fault.needs_no_correction() => {
+            reply::problem(http::StatusCode::ACCEPTED, fault)
+        }
         Err(fault) => reply::problem(http::StatusCode::UNPROCESSABLE_ENTITY, fault),
     }
 }
--- a/src/configs/admin.rs
+++ b/src/configs/admin.rs
@@ -10,15 +10,15 @@
 pub struct Admin {
     /// Further addresses on which the operators' port is served.
     pub also: Vec<net::SocketAddr>,
-    /// How long an upstream's announcement holds without renewal, in milliseconds.
+    /// Time after which an upstream's announcement expires unless it is renewed, in milliseconds.
     pub lease_ms: u64,
-    /// Connections served at once on the operators' port.
+    /// Maximum number of concurrent connections on the operators' port.
     pub connections: u16,
-    /// Nodes asked at once for a report on the whole mesh.
+    /// Maximum number of nodes queried concurrently for a report on the whole mesh.
     pub scatter: u16,
-    /// Longest one node may take to answer for such a report, in milliseconds.
+    /// Timeout for the answer of one node to such a report, in milliseconds.
     pub answer_ms: u64,
-    /// Longest such a report may take, in milliseconds.
+    /// Timeout for such a report as a whole, in milliseconds.
     pub report_ms: u64,
 }
 
--- a/src/configs/call.rs
+++ b/src/configs/call.rs
@@ -6,25 +6,24 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Call {
-    /// Attempts a call may have, the first included.
+    /// Maximum number of attempts for a call, including the first.
     pub attempts: u8,
-    /// Extra attempts of one service that may be made in a burst; its budget's bucket holds this.
+    /// Retries that one service may make in a burst: the bucket size of its retry budget.
     pub retry_burst: u16,
-    /// Candidates compared for each call, two or more.
+    /// Number of candidate upstreams compared for each call; at least two.
     pub candidates: u8,
-    /// Failures in a row, but for refused connections, after which an upstream is ejected.
+    /// Consecutive failures after which an upstream is ejected; refused connections do not count.
     pub eject_after: u8,
-    /// Time an ejected upstream is left alone the first time, in milliseconds; doubles each time.
+    /// Duration of an upstream's first ejection, in milliseconds; it doubles with each further one.
     pub eject_ms: u64,
-    /// Longest time an ejected upstream is left alone, in milliseconds.
+    /// Maximum duration of an ejection, in milliseconds.
     pub eject_most_ms: u64,
-    /// An upstream this many times slower than its peers is ejected.
+    /// An upstream that is this many times slower than its peers is ejected.
     pub slow_factor: u8,
-    /// Time after which half of what an upstream's last answer told is forgotten, in
-    /// milliseconds.
+    /// Half-life of the load that an upstream reported with its last answer, in milliseconds.
     pub load_half_ms: u64,
-    /// Bytes of a call and its answer for which it is worth one more service time of waiting to
-    /// stay in the own availability zone; 0 where bytes between zones cost nothing.
+    /// Size of a call and its answer, in bytes, that justifies waiting one more service time to
+    /// stay in the own availability zone; 0 if traffic between zones costs nothing.
     pub cross_bytes: u32,
 }
 
--- a/src/configs/claim.rs
+++ b/src/configs/claim.rs
@@ -7,21 +7,20 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Claim {
-    /// Least time between two appends of one partition, in milliseconds. The log sees at most
-    /// `partitions * 1000 / group_ms` appends of claims a second.
+    /// Minimum time between two appends to one partition, in milliseconds. The log receives at
+    /// most `partitions * 1000 / group_ms` appends of claims per second.
     pub group_ms: u64,
-    /// Streams that the keys are spread over, each with its own writer.
+    /// Number of streams that the keys are distributed over; each has its own writer.
     pub partitions: u16,
-    /// How long a key is remembered, in seconds. The log must keep records for longer.
+    /// Time for which a key is remembered, in seconds. The log must retain records for longer.
     pub window_s: u64,
-    /// Longest an append may take to be read back before the log counts as failing, in
-    /// milliseconds.
+    /// Timeout for reading an append back, after which the log counts as failing, in milliseconds.
     pub patience_ms: u64,
-    /// Longest wait for a writer's answer before the next one is asked as well, in milliseconds.
+    /// Time to wait for a writer's answer before the next writer is asked as well, in milliseconds.
     pub hedge_ms: u64,
-    /// Claims and releases that wait at once, in each node and in each writer.
+    /// Maximum number of claims and releases that wait in each node and in each writer.
     pub waiting: u32,
-    /// Whether the writers of claims read the log before the first claim comes.
+    /// Whether the writers of claims read the log before the first claim arrives.
     pub ahead: bool,
 }
 
--- a/src/configs/limits.rs
+++ b/src/configs/limits.rs
@@ -12,7 +12,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Shortest key, in bytes.
+/// Minimum length of the mesh key.
 const MIN_KEY_BYTES: usize = 16;
 
 const HOUR_MS: u64 = 3_600_000;
@@ -20,14 +20,14 @@
 const WEEK_S: u64 = 604_800;
 const MONTH_S: u64 = 31 * 86_400;
 
-/// Range of one number, its bounds included.
+/// Range of a number, with both bounds included.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limit {
-    /// Pointer to the number.
+    /// JSON pointer to the number.
     pub pointer: &'static str,
-    /// Smallest value allowed.
+    /// Minimum value.
     pub min: u64,
-    /// Largest value allowed.
+    /// Maximum value.
     pub max: u64,
 }
 
@@ -121,7 +121,7 @@
     limit("/usage/writers", 1, 16),
 ];
 
-/// A number that must fit some times into another one.
+/// A rule that the number at `pointer`, multiplied by `times`, must not exceed the one at `other`.
 struct Proportion {
     pointer: &'static str,
     times: u64,
@@ -151,13 +151,14 @@
     }
 }
 
-/// Adds the numbers of the node settings `tree` that are out of range or proportion to `faults`.
+/// Adds a fault for each number of the node settings `tree` that is out of range, or too large
+/// beside another one.
 pub fn inspect(tree: &Value, faults: &mut Vec<fault::Fault>) {
     NODE.iter().for_each(|limit| check_limit(tree, *limit, faults));
     PROPORTIONS.iter().for_each(|proportion| check_proportion(tree, proportion, faults));
 }
 
-/// Adds a fault if the number that `limit` is about is out of its range.
+/// Adds a fault if the number at `limit.pointer` is out of range.
 pub fn check_limit(tree: &Value, limit: Limit, faults: &mut Vec<fault::Fault>) {
     let Some(Value::Number(number)) = tree.pointer(limit.pointer) else { return };
     let Some(value) = number.as_f64() else { return };
@@ -188,17 +189,18 @@
     faults.push(fault::Fault::new(proportion.pointer, problem));
 }
 
-/// Adds a fault if the text at `pointer` has fewer than `least` bytes.
-pub fn check_length(tree: &Value, pointer: &str, least: usize, faults: &mut Vec<fault::Fault>) {
+/// Adds a fault if the string at `pointer` has fewer than `min_bytes` bytes.
+pub fn check_length(tree: &Value, pointer: &str, min_bytes: usize, faults: &mut Vec<fault::Fault>) {
     let Some(text) = tree.pointer(pointer).and_then(Value::as_str) else { return };
-    if text.len() >= least {
+    if text.len() >= min_bytes {
         return;
     }
-    let problem = fault::Problem::WrongLength { bound: fault::Bound::AtLeast, limit: least as u64 };
+    let problem =
+        fault::Problem::WrongLength { bound: fault::Bound::AtLeast, limit: min_bytes as u64 };
     faults.push(fault::Fault::new(pointer, problem));
 }
 
-/// Adds a fault if the address at `pointer` can't be the one by which others reach a host.
+/// Adds a fault if the address at `pointer` can't be one at which other hosts reach a host.
 pub fn check_address(tree: &Value, pointer: &str, faults: &mut Vec<fault::Fault>) {
     check_base(tree, pointer, faults);
     let Some(address) = address(tree, pointer) else { return };
@@ -219,12 +221,12 @@
     tree.pointer(pointer)?.as_str()?.parse().ok()
 }
 
-/// Adds a fault if `port`, which stands at `pointer`, can't be the base port of a host.
+/// Adds a fault for `pointer` if `port` can't be the base port of a host.
 fn check_port(port: u16, pointer: &str, faults: &mut Vec<fault::Fault>) {
-    let most = u16::MAX - host::PORT_COUNT;
+    let max = u16::MAX - host::PORT_COUNT;
     let (bound, limit) = match port {
         0 => (fault::Bound::AtLeast, 1),
-        port if port > most => (fault::Bound::AtMost, most),
+        port if port > max => (fault::Bound::AtMost, max),
         _ => return,
     };
     let problem =
--- a/src/configs/limits/tests.rs
+++ b/src/configs/limits/tests.rs
@@ -6,7 +6,7 @@
 use crate::configs::limits;
 use crate::mesh::fault;
 
-/// Adds the pointers to the numbers in `value` to `numbers`.
+/// Adds the pointers to the numbers in `value` to `found`.
 fn numbers(value: &Value, pointer: &str, found: &mut collections::BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
--- a/src/configs/load.rs
+++ b/src/configs/load.rs
@@ -1,4 +1,4 @@
-//! Settings files: defaults, then the preset, then what the file gives.
+//! Loading of settings files. A preset overrides the defaults, and the file overrides both.
 
 use std::fs;
 use std::io;
@@ -14,19 +14,19 @@
 #[cfg(test)]
 mod tests;
 
-/// Largest settings file, in bytes.
+/// Maximum size of a settings file.
 pub const MAX_FILE_BYTES: usize = 64 * 1024;
 
-/// Field that names the preset.
+/// Name of the field that selects the preset.
 const PRESET: &str = "preset";
 
-/// Presets by name.
+/// Name and content of each preset.
 const PRESETS: [(&str, &str); 2] = [
     ("cascadia", include_str!("../../presets/cascadia.json")),
     ("condor", include_str!("../../presets/condor.json")),
 ];
 
-/// Why settings can't be used.
+/// Error of loading a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -34,7 +34,7 @@
     Read {
         /// The file.
         path: path::PathBuf,
-        /// Why.
+        /// The operating system's error.
         source: io::Error,
     },
     /// The file has faults.
@@ -42,20 +42,20 @@
     Faults {
         /// The file.
         path: path::PathBuf,
-        /// Every one of them.
+        /// All faults of the file.
         faults: fault::Faults,
     },
 }
 
-/// Settings that are kept in a file of their own.
+/// Settings that have a file of their own.
 ///
-/// Every field has a default, nested ones too: [`read`] relies on it.
+/// [`read`] requires that every field has a default, nested ones included.
 pub trait Settings: Default + Serialize + de::DeserializeOwned {
-    /// Puts a preset, which holds settings of a node, where these settings keep such.
+    /// Wraps a preset, which consists of node settings, so that it has the shape of these settings.
     fn nest_preset(preset: Value) -> Value;
 
-    /// Adds what is out of range or at odds in the whole settings `tree` to `faults`. Values of
-    /// a wrong type are left alone.
+    /// Adds a fault for each value of the complete settings `tree` that is out of range or
+    /// contradicts another one. Skips values of a wrong type.
     fn validate(tree: &Value, faults: &mut Vec<fault::Fault>);
 }
 
@@ -84,17 +84,17 @@
         merge(&mut tree, T::nest_preset(preset));
     }
     merge(&mut tree, given.clone());
-    let mut judged = Vec::new();
-    T::validate(&tree, &mut judged);
-    add_unreadable::<T>(&given, &mut judged);
-    faults.append(&mut judged);
+    let mut invalid = Vec::new();
+    T::validate(&tree, &mut invalid);
+    add_unreadable::<T>(&given, &mut invalid);
+    faults.append(&mut invalid);
     if !faults.is_empty() {
         return Err(fault::Faults::new(faults));
     }
     T::deserialize(tree).map_err(|e| single(unreadable(&e)))
 }
 
-/// Checks settings that were made in the program.
+/// Checks settings that were not read from a file.
 pub fn check<T: Settings>(settings: &T) -> Result<(), fault::Faults> {
     let mut faults = Vec::new();
     T::validate(&tree(settings)?, &mut faults);
@@ -112,7 +112,8 @@
     Err(fault::Problem::WrongType { wanted: "object".into() })
 }
 
-/// Takes the name of the preset out of `given` and returns the preset.
+/// Removes the name of the preset from `given` and returns the preset; `None` if no preset is named
+/// or the name is unknown, which adds a fault.
 fn take_preset(given: &mut Value, faults: &mut Vec<fault::Fault>) -> Option<Value> {
     let name = given.as_object_mut()?.remove(PRESET)?;
     let file = PRESETS.iter().find(|(known, _)| name == *known);
@@ -128,9 +129,9 @@
     preset
 }
 
-/// Reads each value of `given` alone, with every other setting at its default, and adds those
-/// that can't be read to `faults`: serde by itself would stop at the first. A value that has a
-/// fault there already gets no second one.
+/// Adds a fault for each value of `given` that can't be deserialised. Tries each value on its own,
+/// with all other settings at their defaults, because serde stops at the first error. Skips
+/// values that already have a fault.
 fn add_unreadable<T: Settings>(given: &Value, faults: &mut Vec<fault::Fault>) {
     let known = faults.len();
     let mut leaves = Vec::new();
@@ -153,7 +154,7 @@
     fault::Problem::WrongValue { reason }
 }
 
-/// Adds a tree for each leaf of `value`, in which that leaf stands alone, with its pointer.
+/// Adds the pointer of each leaf of `value` to `leaves`, with a tree that has only this leaf.
 fn split_leaves(value: &Value, pointer: &mut String, leaves: &mut Vec<(String, Value)>) {
     let length = pointer.len();
     let mut inner = |key: &str, child: &Value, wrap: &dyn Fn(Value) -> Value| {
@@ -180,7 +181,7 @@
     }
 }
 
-/// Puts the fields of `over` into `tree`; objects are merged, other values replaced.
+/// Merges `over` into `tree`: objects are merged recursively, other values are replaced.
 fn merge(tree: &mut Value, over: Value) {
     match (tree, over) {
         (Value::Object(tree), Value::Object(over)) => {
--- a/src/configs/load/tests.rs
+++ b/src/configs/load/tests.rs
@@ -8,7 +8,8 @@
 use crate::configs::load;
 use crate::configs::spread;
 
-/// The smallest settings a node can start with, and `more`.
+/// Reads the smallest valid node settings merged with `more`. The error lists the pointer and code
+/// of each fault.
 fn read(more: Value) -> Result<configs::Node, Vec<(String, String)>> {
     let mut file = json!({"mesh": "m", "key": "0123456789abcdef"});
     load::merge(&mut file, more);
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn a_file_differs_from_the_defaults_only_in_what_it_gives() {
+fn a_file_overrides_only_the_defaults_that_it_contains() {
     let settings = read(json!({"call": {"attempts": 5}})).expect("no fault");
     let mut wanted = configs::Node { mesh: "m".into(), ..configs::Node::default() };
     wanted.key = "0123456789abcdef".into();
@@ -36,12 +37,12 @@
 #[rstest]
 #[case::condor("condor", spread::Spread::condor())]
 #[case::cascadia("cascadia", spread::Spread::cascadia())]
-fn a_preset_gives_its_values(#[case] name: &str, #[case] wanted: spread::Spread) {
+fn a_preset_sets_its_values(#[case] name: &str, #[case] wanted: spread::Spread) {
     assert_eq!(read(json!({"preset": name})).expect("no fault").spread, wanted);
 }
 
 #[test]
-fn the_file_goes_before_its_preset() {
+fn the_file_overrides_its_preset() {
     let settings = read(json!({"preset": "condor", "spread": {"pull_ms": 7}})).expect("no fault");
     let wanted = spread::Spread { pull_ms: 7, ..spread::Spread::condor() };
     assert_eq!(settings.spread, wanted);
@@ -74,12 +75,12 @@
         ("/zone", "wrong_length"),
     ]
 )]
-fn every_fault_is_named(#[case] more: Value, #[case] wanted: &[(&str, &str)]) {
+fn every_fault_is_reported(#[case] more: Value, #[case] wanted: &[(&str, &str)]) {
     assert_eq!(read(more).expect_err("a fault"), expected(wanted));
 }
 
 #[test]
-fn a_key_that_stands_twice_is_named() {
+fn a_duplicate_key_is_reported() {
     let body = br#"{"mesh":"m","key":"0123456789abcdef","zone":"a","zone":"b"}"#;
     let faults = load::read::<configs::Node>(body).expect_err("a fault");
     assert_eq!(faults.to_string(), "/zone: the key stands twice in its object");
@@ -88,12 +89,12 @@
 #[rstest]
 #[case::list(b"[]")]
 #[case::cut(b"{")]
-fn a_file_that_holds_no_settings_is_one_fault(#[case] body: &[u8]) {
+fn a_file_without_settings_has_one_fault(#[case] body: &[u8]) {
     assert_eq!(load::read::<configs::Node>(body).expect_err("a fault").list().len(), 1);
 }
 
 #[test]
-fn a_missing_file_is_named() {
+fn a_missing_file_is_reported() {
     let error = configs::load(path::Path::new("/nowhere/settings.json")).expect_err("no file");
     assert!(error.to_string().starts_with("/nowhere/settings.json: "), "{error}");
 }
--- a/src/configs/local.rs
+++ b/src/configs/local.rs
@@ -17,29 +17,29 @@
 #[cfg(test)]
 mod tests;
 
-/// Most hosts of a small mesh.
+/// Maximum number of hosts of a small mesh.
 pub const MAX_HOSTS: u64 = 250;
 
-/// Longest time given to a stand-in, in milliseconds.
+/// Maximum value of a duration of an upstream stand-in.
 const MAX_DURATION_MS: u64 = 600_000;
 
 /// Settings of a whole small mesh in one process, on loopback.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Local {
-    /// Configuration file that is published at the start, relative to the settings file.
+    /// Configuration file published at the start, as a path relative to the settings file.
     pub configuration: path::PathBuf,
-    /// Base address of the first host; each further host has the next address.
+    /// Base address of the first host; each further host gets the next IP address.
     pub listen: net::SocketAddr,
-    /// Port of each upstream, at the address of its host; its control port follows.
+    /// Port of each upstream, at the IP address of its host; the control port is the next port.
     pub upstream_port: u16,
     /// Region of every host.
     pub region: SmolStr,
     /// The stand-in for the platform's log service.
     pub log: Log,
-    /// Upstreams by the name of their class in the configuration.
+    /// Upstreams by the name of their class in the configuration file.
     pub upstreams: collections::BTreeMap<SmolStr, Group>,
-    /// Settings of every node; addresses, place, mesh and key are filled in.
+    /// Settings of every node; addresses, region, zone, mesh and key are filled in.
     pub node: configs::Node,
 }
 
@@ -63,9 +63,9 @@
 pub struct Log {
     /// Address it listens on.
     pub address: net::SocketAddr,
-    /// Appends allowed a second.
+    /// Maximum number of appends per second.
     pub appends: u32,
-    /// Time a record is kept, in seconds.
+    /// Time for which a record is retained, in seconds.
     pub retention_s: u64,
 }
 
@@ -85,13 +85,13 @@
 pub struct Group {
     /// Number of upstreams in each availability zone.
     pub zones: collections::BTreeMap<SmolStr, u16>,
-    /// Mean time of a call, in milliseconds.
+    /// Mean duration of a call, in milliseconds.
     pub mean_ms: u64,
-    /// Mean time of calls under a path, in milliseconds; the first path that fits counts.
+    /// Mean duration of calls by path prefix, in milliseconds; the first matching prefix applies.
     pub means_ms: collections::BTreeMap<SmolStr, u64>,
-    /// Time after the start in which calls take longer, in milliseconds.
+    /// Time after the start during which calls take longer, in milliseconds.
     pub cold_ms: u64,
-    /// Time in which calls are still run after a drain was announced, in milliseconds.
+    /// Time for which calls are still run after a drain was announced, in milliseconds.
     pub grace_ms: u64,
 }
 
@@ -118,16 +118,16 @@
     pub zone: SmolStr,
     /// Class of its upstream, a key of [`Local::upstreams`].
     pub class: SmolStr,
-    /// Key of the class in the mesh the hosts were made for.
+    /// Key of the class in the mesh for which the hosts were created.
     pub key: mesh::ClassKey,
 }
 
 impl Local {
-    /// The hosts, one for each upstream, zone by zone in each class.
+    /// Creates one host for each upstream, ordered by class and then by zone.
     ///
     /// # Errors
     ///
-    /// A class that `mesh` does not have.
+    /// Fails when a class does not exist in `mesh`.
     pub fn hosts(&self, mesh: &mesh::Mesh) -> Result<Vec<Host>, fault::Faults> {
         let mut hosts = Vec::new();
         let mut faults = Vec::new();
@@ -167,9 +167,9 @@
     }
 
     fn validate(tree: &Value, faults: &mut Vec<fault::Fault>) {
-        let node = faults.len();
+        let node_faults = faults.len();
         limits::inspect(tree.get("node").unwrap_or(&Value::Null), faults);
-        for fault in &mut faults[node..] {
+        for fault in &mut faults[node_faults..] {
             fault.pointer.insert_str(0, "/node");
         }
         limits::check_length(tree, "/configuration", 1, faults);
@@ -180,7 +180,7 @@
     }
 }
 
-/// Range of each number that is not a setting of the nodes.
+/// Range of each number that is not a setting of a node.
 pub const LIMITS: &[limits::Limit] = &[
     limits::Limit { pointer: "/upstream_port", min: 1, max: u16::MAX as u64 - 1 },
     limits::Limit { pointer: "/log/appends", min: 1, max: 1_000_000 },
@@ -227,8 +227,8 @@
 }
 
 fn class_key(mesh: &mesh::Mesh, class: &SmolStr) -> Option<mesh::ClassKey> {
-    let place = mesh.classes.iter().position(|c| c.name == *class)?;
-    u16::try_from(place).ok().map(mesh::ClassKey)
+    let index = mesh.classes.iter().position(|c| c.name == *class)?;
+    u16::try_from(index).ok().map(mesh::ClassKey)
 }
 
 fn unknown_class(class: &SmolStr) -> fault::Fault {
@@ -239,7 +239,7 @@
     fault::Fault::new(fault::join("/upstreams", class), problem)
 }
 
-/// The address `n` after `first`.
+/// Returns `first` plus `n`.
 fn nth_address(first: net::IpAddr, n: usize) -> net::IpAddr {
     match first {
         net::IpAddr::V4(ip) => net::Ipv4Addr::from(u32::from(ip).wrapping_add(n as u32)).into(),
--- a/src/configs/local/tests.rs
+++ b/src/configs/local/tests.rs
@@ -24,7 +24,7 @@
 #[rstest]
 #[case::condor("condor.json", &[("catalogue", 9), ("manuscript", 4)], 130, spread::Spread::condor())]
 #[case::cascadia("cascadia.json", &[("couple-desk", 4), ("guest-shop", 8)], 120, spread::Spread::cascadia())]
-fn an_example_has_the_size_of_today(
+fn an_example_has_the_expected_size(
     #[case] name: &str,
     #[case] counts: &[(&str, usize)],
     #[case] connections: u16,
@@ -56,7 +56,7 @@
 #[case::unknown_of_node(json!({"node": {"call": {"x": 0}}}), "/node/call/x")]
 #[case::no_configuration(json!({"configuration": ""}), "/configuration")]
 #[case::log(json!({"log": {"appends": 0}}), "/log/appends")]
-fn a_fault_is_named(#[case] more: Value, #[case] pointer: &str) {
+fn a_fault_is_reported(#[case] more: Value, #[case] pointer: &str) {
     let mut file = json!({"configuration": "c.json", "upstreams": {"d": {"zones": {"z": 1}}}});
     for (key, value) in more.as_object().expect("an object") {
         file[key] = value.clone();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_class_the_configuration_lacks_is_named() {
+fn a_class_missing_in_the_configuration_is_reported() {
     let (mut local, mesh) = example("condor.json");
     local.upstreams.insert("nobody".into(), local::Group::default());
     let faults = local.hosts(&mesh).expect_err("a fault");
--- a/src/configs/log.rs
+++ b/src/configs/log.rs
@@ -10,11 +10,11 @@
 pub struct Log {
     /// Address of the service.
     pub address: net::SocketAddr,
-    /// Longest one append may take, in milliseconds.
+    /// Timeout for one append, in milliseconds.
     pub append_ms: u64,
-    /// Longest one read waits for a record, in milliseconds.
+    /// Maximum time that a read waits for a record, in milliseconds.
     pub wait_ms: u64,
-    /// How long the service keeps a record at least, in seconds.
+    /// Minimum time for which the service retains a record, in seconds.
     pub retention_s: u64,
 }
 
--- a/src/configs/member.rs
+++ b/src/configs/member.rs
@@ -8,37 +8,38 @@
 pub struct Member {
     /// Time between two probes, in milliseconds.
     pub probe_ms: u64,
-    /// Longest wait for an answer to one datagram, in milliseconds; at most a third of `probe_ms`.
+    /// Timeout for the answer to one datagram, in milliseconds; at most a third of `probe_ms`.
     pub answer_ms: u64,
-    /// Hosts asked to probe a host that did not answer.
+    /// Number of hosts asked to probe a host that did not answer.
     pub helpers: u8,
-    /// Probe periods a suspect has to refute, for each tenfold of hosts.
+    /// Probe periods in which a suspect can refute the suspicion, per tenfold increase in hosts.
     pub suspicion: u8,
-    /// Times a record is passed on by one host, for each doubling of hosts.
+    /// Times that one host forwards a record, per doubling of the number of hosts.
     pub retransmit: u8,
-    /// Extra datagrams one host sends for urgent news, beyond the natural logarithm of the hosts.
+    /// Datagrams that one host sends for an urgent update, in addition to the natural logarithm of
+    /// the number of hosts.
     pub urgent: u8,
-    /// Shortest time between two repairs that one host begins, in milliseconds.
+    /// Minimum time between two anti-entropy repairs that one host starts, in milliseconds.
     pub repair_ms: u64,
-    /// Time between two probes of dead, dark or configured hosts, in milliseconds.
+    /// Time between two reconnect probes of dead, unreachable or configured hosts, in milliseconds.
     pub knock_ms: u64,
-    /// Most pages of the table sent to joining hosts, in a second.
+    /// Maximum number of pages of the member table sent to joining hosts per second.
     pub pages: u16,
-    /// Longest first wait before joining, in milliseconds; doubled on each failure.
+    /// Maximum wait before the first attempt to join, in milliseconds; doubles on each failure.
     pub join_ms: u64,
-    /// Longest wait between two attempts to join, in milliseconds.
+    /// Maximum wait between two attempts to join, in milliseconds.
     pub join_most_ms: u64,
-    /// Time without any answer after which this host goes on by itself, in milliseconds.
+    /// Time without any answer after which this host continues on its own, in milliseconds.
     pub alone_ms: u64,
-    /// Time between two looks into the directory of hosts, in milliseconds.
+    /// Time between two reads of the directory of hosts, in milliseconds.
     pub seek_ms: u64,
-    /// Whether the whole mesh starts for the first time: nobody is listed in the directory yet.
+    /// Whether the mesh starts for the first time, so that no host is in the directory yet.
     pub fresh: bool,
-    /// A silence of this process longer than this counts as a pause, in milliseconds.
+    /// Time without progress after which this process counts as paused, in milliseconds.
     pub pause_ms: u64,
-    /// Time after which a dead host is forgotten, in seconds.
+    /// Time after which a dead host is removed, in seconds.
     pub forget_s: u64,
-    /// Time after which the hosts of a dark availability zone count as dead, in seconds.
+    /// Time after which the hosts of an unreachable availability zone count as dead, in seconds.
     pub dark_s: u64,
 }
 
--- a/src/configs/mod.rs
+++ b/src/configs/mod.rs
@@ -1,7 +1,8 @@
-//! Settings of a node: one twin file for each feature, every field with a default and a unit.
+//! Settings of a node, with one file for each feature. Every field has a default, and the name of
+//! a quantity ends with its unit.
 //!
-//! A settings file names only what differs from the defaults. With `"preset"` it starts from one
-//! of the files under `presets/` instead.
+//! A settings file contains only the values that differ from the defaults. With `"preset"` it
+//! starts from one of the files under `presets/` instead.
 
 use std::net;
 use std::path;
@@ -29,22 +30,22 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Node {
-    /// Name of the mesh; nodes of other meshes are ignored.
+    /// Name of the mesh; messages from nodes of other meshes are ignored.
     pub mesh: SmolStr,
-    /// Secret shared by the nodes of the mesh, for the tags on their messages.
+    /// Secret shared by the nodes of the mesh, which authenticates their messages.
     pub key: SmolStr,
     /// Address and base port of this host; six consecutive ports are used.
     pub listen: net::SocketAddr,
-    /// Address and base port to bind instead of `listen`, which others still use: for a host
-    /// that is reached through a forwarder of all six ports.
+    /// Address and base port to bind if they differ from `listen`, at which other hosts connect:
+    /// for a host behind a forwarder of all six ports.
     pub bind: Option<net::SocketAddr>,
     /// Region of this host.
     pub region: SmolStr,
     /// Availability zone of this host.
     pub zone: SmolStr,
-    /// Service of the upstream beside this node; empty when there is none.
+    /// Service of the upstream beside this node; empty if there is none.
     pub service: SmolStr,
-    /// Base addresses of a few hosts to join through.
+    /// Base addresses of some hosts through which this host joins the mesh.
     pub join: Vec<net::SocketAddr>,
     /// The operators' port.
     pub admin: admin::Admin,
@@ -67,17 +68,17 @@
 }
 
 impl Node {
-    /// This host as the others know it.
+    /// Identity of this host, at which others reach it.
     pub const fn host(&self) -> host::HostId {
         host::HostId::new(self.listen)
     }
 
-    /// The addresses this process binds.
+    /// The addresses that this process binds.
     pub fn bound(&self) -> host::HostId {
         host::HostId::new(self.bind.unwrap_or(self.listen))
     }
 
-    /// Address on which calls are taken.
+    /// Address at which calls are accepted.
     pub fn call_addr(&self) -> net::SocketAddr {
         self.proxy.listen.unwrap_or_else(|| self.bound().call_addr())
     }
@@ -86,7 +87,7 @@
     ///
     /// # Errors
     ///
-    /// Every value that is out of range or at odds with another, with its JSON pointer.
+    /// Lists every value that is out of range or contradicts another, with its JSON pointer.
     pub fn check(&self) -> Result<(), fault::Faults> {
         load::check(self)
     }
--- a/src/configs/proxy.rs
+++ b/src/configs/proxy.rs
@@ -8,53 +8,52 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Proxy {
-    /// Address on which calls are taken; without it the host's own, three above `listen`.
+    /// Address at which calls are accepted; by default the port three above the host's `listen`.
     pub listen: Option<net::SocketAddr>,
-    /// Longest a connection to another node may take to open, in milliseconds.
+    /// Timeout for opening a connection to another node, in milliseconds.
     pub connect_ms: u64,
-    /// Longest a caller may take to send a request's head, in milliseconds.
+    /// Timeout for receiving the head of a request from a caller, in milliseconds.
     pub head_ms: u64,
-    /// Largest head of a request, in bytes; at least 8192.
+    /// Maximum size of a request head, in bytes; at least 8192.
     pub head_bytes: usize,
-    /// Most headers of a request.
+    /// Maximum number of headers in a request.
     pub head_count: usize,
-    /// Longest path with query of a request, in bytes.
+    /// Maximum length of the path and query of a request, in bytes.
     pub path_bytes: usize,
-    /// Request bodies up to this size are kept for another attempt, in bytes.
+    /// Maximum size of a request body that is buffered for retries, in bytes.
     pub keep_bytes: u64,
-    /// Bytes that all bodies held for another attempt may take up; others stream.
+    /// Maximum total size of bodies buffered for retries, in bytes; further bodies are streamed.
     pub kept_bytes: u64,
-    /// Answers up to this size are read whole before their first byte goes out, in bytes.
+    /// Maximum size of an answer that is read completely before its first byte is sent, in bytes.
     pub whole_bytes: u64,
-    /// Longest an unused connection to the upstream is kept, in milliseconds; below the
-    /// upstream's own limit.
+    /// Time after which an idle connection to the upstream is closed, in milliseconds; must be
+    /// below the upstream's own limit.
     pub idle_ms: u64,
-    /// Rate of this host's link, in megabits a second; 0 where it is not known. Long bodies take
-    /// turns on it.
+    /// Bandwidth of this host's link, in megabits per second; 0 if it is not known. Long bodies
+    /// take turns on the link.
     pub link_mbps: f64,
-    /// Window of each stream between nodes, in bytes: what a stalled call may take up.
+    /// Flow-control window of each stream between nodes, in bytes: what a stalled call may occupy.
     pub stream_bytes: u32,
-    /// Window of each connection between nodes, in bytes.
+    /// Flow-control window of each connection between nodes, in bytes.
     pub link_bytes: u32,
-    /// Calls at once on one connection between nodes.
+    /// Maximum number of concurrent calls on one connection between nodes.
     pub link_calls: u32,
-    /// Time between two pings on a connection between nodes in use, in milliseconds.
+    /// Time between two pings on an active connection between nodes, in milliseconds.
     pub ping_ms: u64,
-    /// Longest a ping may stay without answer before the connection is given up, in
-    /// milliseconds.
+    /// Timeout for the answer to a ping, after which the connection is closed, in milliseconds.
     pub pong_ms: u64,
-    /// Longest the first answer to an idempotency key is held for its duplicates, in
+    /// Time for which the first answer to an idempotency key is kept for duplicates, in
     /// milliseconds.
     pub held_ms: u64,
-    /// Most answers held.
+    /// Maximum number of answers kept for duplicates.
     pub held_count: usize,
-    /// Most bytes of answers held.
+    /// Maximum total size of the answers kept for duplicates, in bytes.
     pub held_bytes: usize,
-    /// Least time for which a draining node still answers calls, in milliseconds.
+    /// Minimum time for which a draining node still answers calls, in milliseconds.
     pub linger_ms: u64,
-    /// Wait suggested to refused callers where nothing better is known, in milliseconds.
+    /// Retry delay suggested to refused callers if no better estimate is known, in milliseconds.
     pub retry_ms: u64,
-    /// Time between two hand-overs of usage counts, in milliseconds.
+    /// Time between two flushes of usage counts, in milliseconds.
     pub tally_ms: u64,
 }
 
--- a/src/configs/spread.rs
+++ b/src/configs/spread.rs
@@ -8,48 +8,49 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Spread {
-    /// Hosts in each availability zone that read the log: one follows it, the others stand by.
+    /// Number of hosts in each availability zone that read the log: one follows it, the others are
+    /// standbys.
     pub readers: u8,
-    /// Time between two reads of a standby reader, in milliseconds; 0 has it wait for records at the
-    /// end of the log as the one that follows does.
+    /// Time between two reads of a standby, in milliseconds; with 0 it waits for records at the end
+    /// of the log, as the active reader does.
     pub standby_ms: u64,
-    /// Hosts to which one host pushes a new version.
+    /// Number of hosts to which one host pushes a new version.
     pub fanout: u8,
-    /// Time after which a push without acknowledgement is sent again, in milliseconds; 0 asks for
-    /// no acknowledgement and leaves the repair to membership's probes.
+    /// Time after which an unacknowledged push is sent again, in milliseconds; with 0 no
+    /// acknowledgement is requested, and losses are repaired through the membership probes.
     pub ack_ms: u64,
-    /// Times a push without acknowledgement is sent before the hosts below are pushed to directly.
+    /// Times that an unacknowledged push is sent before the hosts below are pushed to directly.
     pub pushes: u8,
-    /// Longest random delay between hearing of a newer version and asking for it, in milliseconds.
+    /// Maximum random delay between learning of a newer version and requesting it, in milliseconds.
     pub pull_ms: u64,
     /// Time after which an unanswered request is sent to another host, in milliseconds.
     pub retry_ms: u64,
-    /// Transfers over TCP served at once; more are refused with another host's address.
+    /// Maximum number of concurrent TCP transfers; further ones are referred to another host.
     pub transfers: u8,
-    /// Longest a whole transfer over TCP may take, in milliseconds.
+    /// Timeout for a complete transfer over TCP, in milliseconds.
     pub transfer_ms: u64,
-    /// Hosts asked at start what the mesh runs.
+    /// Number of hosts asked at start which version the mesh runs.
     pub ask: u8,
-    /// Longest wait at start for the answers of the hosts asked, in milliseconds.
+    /// Maximum wait at start for the answers of these hosts, in milliseconds.
     pub settle_ms: u64,
-    /// Longest wait at start for the log's tail, in milliseconds.
+    /// Maximum wait at start for the end of the log, in milliseconds.
     pub confirm_ms: u64,
-    /// Longest a version read from the log waits until another host holds it, in milliseconds; 0
-    /// runs it at once.
+    /// Maximum time that a version read from the log waits until another host has it, in
+    /// milliseconds; with 0 it is applied immediately.
     pub witness_ms: u64,
-    /// Versions kept as bases for patches.
+    /// Number of versions kept as bases for patches.
     pub keep: u8,
-    /// Largest datagram sent, in bytes.
+    /// Maximum size of a datagram that is sent, in bytes.
     pub datagram_bytes: u16,
 }
 
 impl Spread {
-    /// Fewer bytes before less time: no acknowledgements, slower standby readers.
+    /// Values that prefer little traffic over speed: no acknowledgements, slower standbys.
     pub fn condor() -> Self {
         Self { ack_ms: 0, pull_ms: 200, retry_ms: 300, standby_ms: 2000, ..Self::cascadia() }
     }
 
-    /// Less time before fewer bytes: every push is acknowledged and quickly sent again.
+    /// Values that prefer speed over little traffic: pushes are acknowledged and soon sent again.
     pub fn cascadia() -> Self {
         Self {
             readers: 2,
--- a/src/configs/stop.rs
+++ b/src/configs/stop.rs
@@ -6,14 +6,14 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Stop {
-    /// Time for which a node that is to stop serves on while it says that it is not ready, in
-    /// milliseconds: callers turn to others only once they have seen that.
+    /// Time for which a stopping node still serves while it reports that it is not ready, in
+    /// milliseconds: callers need this time to notice and to use other nodes.
     pub serve_ms: u64,
-    /// Least time between the news of the drain and the end, in milliseconds.
+    /// Minimum time between announcing the drain and the end of the process, in milliseconds.
     pub settle_ms: u64,
-    /// Most time given to calls in flight, in milliseconds.
+    /// Maximum time for which calls in flight may continue, in milliseconds.
     pub drain_ms: u64,
-    /// Longest that a node which ends waits until its last usage counts stand in the log, in
+    /// Maximum time for which an ending node waits until its last usage counts are in the log, in
     /// milliseconds.
     pub flush_ms: u64,
 }
--- a/src/configs/usage.rs
+++ b/src/configs/usage.rs
@@ -1,16 +1,16 @@
-//! Settings of usage and burn.
+//! Settings of usage accounting.
 
 use serde::{Deserialize, Serialize};
 
-/// Settings of usage and burn.
+/// Settings of usage accounting.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Usage {
     /// Time between two totals sent to a writer, in milliseconds.
     pub flush_ms: u64,
-    /// Least time between two appends of one writer, in milliseconds.
+    /// Minimum time between two appends of one writer, in milliseconds.
     pub group_ms: u64,
-    /// Writers in each availability zone.
+    /// Number of writers in each availability zone.
     pub writers: u8,
 }
 
