--- a/src/admin/announce.rs
+++ b/src/admin/announce.rs
@@ -1,8 +1,8 @@
 //! Announcements of the upstream beside this node.
 //!
-//! An announcement holds for a lease and is renewed as a heartbeat. It is checked against the
-//! configuration that is applied; one that names a service or class the configuration lacks is
-//! refused but kept, so that it holds as soon as a configuration brings them.
+//! An announcement is valid for the time of a lease; the upstream renews it as a heartbeat. It is
+//! checked against the applied configuration. If that lacks the service or class, the announcement
+//! is refused but kept, and takes effect as soon as a configuration contains them.
 
 use std::collections;
 use std::net;
@@ -26,7 +26,7 @@
     /// Serves.
     #[serde(alias = "in-service")]
     Serving,
-    /// Finishes what it has and takes no new calls.
+    /// Finishes its running calls and takes no new ones.
     Draining,
 }
 
@@ -40,44 +40,44 @@
     }
 }
 
-/// What an upstream says of itself.
+/// The description that an upstream sends of itself.
 ///
-/// Fields that are not named here are ignored: upstreams may say more than a node knows of. Some
-/// names have a second spelling, with a hyphen, for a platform that uses the first for something
-/// else.
+/// Unknown fields are ignored, so that newer upstreams can send more than this node reads. Some
+/// fields have a second spelling with a hyphen, for a platform that uses the first one for
+/// something else.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Announcement {
     /// Service it serves.
     pub service: SmolStr,
-    /// Class of upstreams it belongs to; without it the class named like the service.
+    /// Class of upstreams it belongs to; if empty, the class with the name of the service.
     #[serde(default)]
     pub class: SmolStr,
-    /// Where its node calls it.
+    /// Address at which its node calls it.
     pub address: net::SocketAddr,
-    /// Availability zone it believes to be in; for the logs alone.
+    /// Availability zone it assumes to be in; only for logs.
     #[serde(default)]
     pub zone: SmolStr,
-    /// Version of its software, by which a roll-out tells it from others.
+    /// Version of its software, which a roll-out uses to distinguish upstreams.
     #[serde(default)]
     pub version: SmolStr,
-    /// Calls it runs at once.
+    /// Maximum number of concurrent calls.
     #[serde(alias = "upstream-slots")]
     pub slots: u16,
-    /// Connections it accepts; without it as many as its class allows.
+    /// Maximum number of connections; by default the limit of its class.
     #[serde(default = "unlimited")]
     pub connections: u16,
-    /// How far it is in its life.
+    /// Phase of its life cycle.
     #[serde(alias = "current-phase")]
     pub phase: Phase,
-    /// For how much longer it is slow after its start, in milliseconds.
+    /// Remaining time for which it is slow after its start, in milliseconds.
     #[serde(alias = "warmup-ms", default)]
     pub warmup_ms: u64,
-    /// Grows with each announcement of one instance, so that one that comes late is known; 0 where
+    /// Increases with each announcement of an instance, so that a delayed one is recognised; 0 if
     /// the instance does not count.
     #[serde(default)]
     pub sequence: u64,
-    /// When this life of the instance began, in milliseconds since the Unix epoch; `None` where it
-    /// doesn't say. Compared with other lives of the instance alone, never with a clock.
+    /// Start time of this incarnation of the instance, in milliseconds since the Unix epoch; `None`
+    /// if not given. Only compared with other incarnations of the instance, never with a clock.
     #[serde(
         default,
         deserialize_with = "required_number",
@@ -86,15 +86,15 @@
     pub born: Option<u64>,
 }
 
-/// What an upstream says when it withdraws.
+/// Body of a request by which an upstream withdraws its announcement.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
 pub struct Withdrawal {
-    /// The life that ends, as in [`Announcement::born`].
+    /// Start time of the incarnation that ends, as in [`Announcement::born`].
     #[serde(default, deserialize_with = "required_number")]
     pub born: Option<u64>,
 }
 
-/// A number that has to be one where it is given.
+/// Deserialises a field that may be missing but must be a number if present.
 fn required_number<'de, D: Deserializer<'de>>(number: D) -> Result<Option<u64>, D::Error> {
     u64::deserialize(number).map(Some)
 }
@@ -108,7 +108,7 @@
         if self.class.is_empty() { &self.service } else { &self.class }
     }
 
-    /// Its phase, taking one that is still slow for warming.
+    /// Its phase; an upstream that serves but is still slow counts as warming.
     fn phase(&self) -> view::Phase {
         match self.phase {
             Phase::Serving if self.warmup_ms > 0 => view::Phase::Warming,
@@ -117,88 +117,88 @@
     }
 }
 
-/// What is wrong with an announcement.
+/// Why an announcement was not applied.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// Its address is not one of this host.
+    /// Its address does not belong to this host.
     #[error("the upstream's address is not one of this host")]
     Address,
-    /// It offers no slot or no connection.
+    /// It has no slots or no connections.
     #[error("an upstream needs at least one slot and one connection")]
     Empty,
-    /// The configuration has no such service. The announcement is kept.
+    /// The configuration does not contain the service. The announcement is kept.
     #[error("the configuration has no such service; kept until one brings it")]
     Service,
-    /// The service has no such class of upstreams. The announcement is kept.
+    /// The service does not have the class of upstreams. The announcement is kept.
     #[error("the service has no such class of upstreams; kept until one comes")]
     Class,
-    /// It comes from an instance that has gone, or before a later one of the same instance.
+    /// Its instance has ended, or a later announcement of the same instance was received before.
     #[error("the instance has gone, or has announced itself anew since; nothing changes")]
     Stale,
-    /// It names no upstream that could be used, while another announcement holds that does.
+    /// The configuration lacks its service or class, while the current announcement is usable.
     #[error("the configuration has no such upstream, and another one holds; nothing changes")]
     Foreign,
 }
 
 impl Fault {
-    /// Whether the announcement may hold under a later configuration.
+    /// Whether the announcement is kept because a later configuration may make it usable.
     pub const fn pending(self) -> bool {
         matches!(self, Fault::Class | Fault::Service)
     }
 
-    /// Whether the instance has nothing to mend: saying the same again would change nothing.
+    /// Whether the sender has nothing to correct, so that it is answered with success.
     pub const fn needs_no_correction(self) -> bool {
         self.pending() || matches!(self, Fault::Foreign | Fault::Stale)
     }
 }
 
-/// Instances that have gone and are remembered. A backend's late announcements come within seconds,
-/// and a host replaces its upstream a few times an hour at most.
+/// Maximum number of ended instances that are remembered. Delayed announcements arrive within
+/// seconds, and a host replaces its upstream at most a few times per hour.
 const MAX_ENDED: usize = 32;
 
-/// An announcement that holds.
+/// The announcement that is in force.
 #[derive(Debug)]
 struct Current {
     instance: SmolStr,
     announcement: Announcement,
     incarnation: u32,
-    until: clock::Instant,
+    expires_at: clock::Instant,
 }
 
-/// A life of an instance. Later lives compare greater; one that doesn't say when it began is taken
-/// for the first.
+/// Start time of an incarnation of an instance. Later incarnations compare greater; one without a
+/// start time counts as the first.
 type StartTime = Option<u64>;
 
-/// Stands for every life of an instance, whenever it began.
+/// Start time that covers all incarnations of an instance.
 const ANY_START: StartTime = Some(u64::MAX);
 
-/// An instance that has gone.
+/// An instance that has ended.
 #[derive(Debug)]
 struct Ended {
     instance: SmolStr,
-    /// The last of its lives that is known to have ended.
+    /// Start time of its latest incarnation that is known to have ended.
     born: StartTime,
 }
 
-/// The announcement that holds, if one does.
+/// The current announcement, if there is one, and the instances that have ended.
 #[derive(Debug)]
 pub struct Registry {
     host: net::IpAddr,
     lease: time::Duration,
-    /// The last announcement.
+    /// The current announcement.
     current: Option<Current>,
-    /// Instances that have gone, the latest last. Invariant: `held` is a later life than any of
-    /// them.
+    /// Ended instances, the latest last. Invariant: the current announcement is from a later
+    /// incarnation than any of these.
     ended: collections::VecDeque<Ended>,
-    /// Lives announced so far.
+    /// Number of incarnations announced so far.
     incarnations: u32,
-    /// The last life announced.
+    /// Instance and start time of the incarnation announced last.
     last: Option<(SmolStr, StartTime)>,
 }
 
 impl Registry {
-    /// A desk on the host with address `host`; announcements hold for `lease`.
+    /// Creates a registry on the host with address `host`; announcements expire after `lease`.
     pub const fn new(host: net::IpAddr, lease: time::Duration) -> Self {
         Self {
             host,
@@ -210,16 +210,16 @@
         }
     }
 
-    /// Whether `peer` may announce: this host's own address or loopback.
+    /// Whether `peer` may announce an upstream: only this host's own address and loopback may.
     pub fn admits(&self, peer: net::IpAddr) -> bool {
         peer == self.host || peer.is_loopback()
     }
 
-    /// Takes an announcement of `instance` or its renewal.
+    /// Applies an announcement of `instance` or its renewal.
     ///
     /// # Errors
     ///
-    /// Names what is wrong with it under `mesh`; it is kept when [`Fault::pending`].
+    /// Returns why it is not usable under `mesh`; it is kept if [`Fault::pending`].
     pub fn announce(
         &mut self,
         instance: &SmolStr,
@@ -240,27 +240,29 @@
         if found.is_err() && self.local(mesh).is_some() {
             return Err(Fault::Foreign);
         }
-        let until = now + self.lease;
-        let life = self.life(instance, announcement.born);
-        let held = Current { instance: instance.clone(), announcement, incarnation: life, until };
-        if let Some(old) = self.current.replace(held).filter(|old| old.instance != *instance) {
+        let expires_at = now + self.lease;
+        let incarnation = self.incarnation(instance, announcement.born);
+        let new = Current { instance: instance.clone(), announcement, incarnation, expires_at };
+        if let Some(old) = self.current.replace(new).filter(|old| old.instance != *instance) {
             self.record_end(old.instance, ANY_START);
         }
         found
     }
 
-    /// Takes back what the life of `instance` that `born` names has announced, and every later
-    /// announcement that it sent before; without `born`, the life that is known.
+    /// Withdraws the announcement of the incarnation of `instance` that started at `born`, and
+    /// ignores its delayed announcements from now on. Without `born` this applies to the current
+    /// incarnation, or to all if none is known.
     pub fn withdraw(&mut self, instance: &SmolStr, born: Option<u64>) {
-        let known = self.current.as_ref().filter(|held| held.instance == *instance);
-        let known = known.map(|held| held.announcement.born);
+        let known = self.current.as_ref().filter(|current| current.instance == *instance);
+        let known = known.map(|current| current.announcement.born);
         let ended = born.or(known.unwrap_or(ANY_START));
-        self.current.take_if(|held| held.instance == *instance && held.announcement.born <= ended);
+        self.current
+            .take_if(|current| current.instance == *instance && current.announcement.born <= ended);
         self.record_end(instance.clone(), ended);
     }
 
-    /// The number of the life of `instance` that began at `born`.
-    fn life(&mut self, instance: &SmolStr, born: StartTime) -> u32 {
+    /// Returns the number of the incarnation of `instance` that started at `born`.
+    fn incarnation(&mut self, instance: &SmolStr, born: StartTime) -> u32 {
         let same = |(name, when): &(SmolStr, StartTime)| name == instance && *when == born;
         if !self.last.as_ref().is_some_and(same) {
             self.incarnations = self.incarnations.wrapping_add(1);
@@ -270,22 +272,23 @@
     }
 
     fn is_stale(&self, instance: &SmolStr, new: &Announcement) -> bool {
-        let held = self.current.as_ref().filter(|held| held.instance == *instance);
-        let later = held.is_some_and(|held| {
-            let old = &held.announcement;
+        let current = self.current.as_ref().filter(|current| current.instance == *instance);
+        let outdated = current.is_some_and(|current| {
+            let old = &current.announcement;
             (old.born, old.sequence) > (new.born, new.sequence)
         });
-        later || self.ended.iter().any(|gone| gone.instance == *instance && gone.born >= new.born)
+        outdated
+            || self.ended.iter().any(|ended| ended.instance == *instance && ended.born >= new.born)
     }
 
-    /// Remembers that the lives of `instance` up to `born` have ended. Upstreams without a name can't
-    /// be told apart.
+    /// Records that the incarnations of `instance` up to `born` have ended. Does nothing for
+    /// instances without a name, which can't be distinguished.
     fn record_end(&mut self, instance: SmolStr, born: StartTime) {
         if instance.is_empty() {
             return;
         }
-        if let Some(gone) = self.ended.iter_mut().find(|gone| gone.instance == instance) {
-            gone.born = gone.born.max(born);
+        if let Some(ended) = self.ended.iter_mut().find(|ended| ended.instance == instance) {
+            ended.born = ended.born.max(born);
             return;
         }
         if self.ended.len() >= MAX_ENDED {
@@ -294,15 +297,15 @@
         self.ended.push_back(Ended { instance, born });
     }
 
-    /// Drops the announcement when its lease has ended.
+    /// Drops the announcement if its lease has expired.
     pub fn expire(&mut self, now: clock::Instant) {
-        self.current.take_if(|held| held.until <= now);
+        self.current.take_if(|current| current.expires_at <= now);
     }
 
-    /// The upstream as `mesh` allows it: within the limits of its class, and only if the mesh has
-    /// its service and class.
+    /// Returns the announced upstream, with slots and connections limited to those of its class.
+    /// `None` if nothing is announced or `mesh` lacks its service or class.
     pub fn local(&self, mesh: &mesh::Mesh) -> Option<node::LocalUpstream> {
-        let Current { instance, announcement, incarnation: life, .. } = self.current.as_ref()?;
+        let Current { instance, announcement, incarnation, .. } = self.current.as_ref()?;
         let class = class(announcement, mesh).ok()?;
         let upstream = view::Upstream {
             service: announcement.service.clone(),
@@ -310,7 +313,7 @@
             phase: announcement.phase(),
             slots: announcement.slots.min(class.slots),
             connections: announcement.connections.min(class.connections),
-            incarnation: *life,
+            incarnation: *incarnation,
             version: announcement.version.clone(),
             trial: rollout::TrialReport::default(),
         };
@@ -322,7 +325,7 @@
     }
 }
 
-/// The class that `announcement` names.
+/// Returns the class of `announcement` in `mesh`.
 fn class<'a>(announcement: &Announcement, mesh: &'a mesh::Mesh) -> Result<&'a mesh::Class, Fault> {
     if !mesh.services.iter().any(|s| s.name == announcement.service) {
         return Err(Fault::Service);
--- a/src/admin/calls.rs
+++ b/src/admin/calls.rs
@@ -1,4 +1,4 @@
-//! Calls by outcome, as metrics.
+//! Metrics of calls by outcome and of their latencies.
 
 use std::collections;
 use std::collections::btree_map;
@@ -17,25 +17,25 @@
 use crate::usage;
 use crate::usage::tally;
 
-/// Most rows kept, so that configurations which come and go can't grow it without bound. Counts of
-/// further labels are left out.
+/// Maximum number of rows, since each new configuration can add labels. Calls with further labels
+/// are not counted.
 const MAX_ROWS: usize = 4096;
 
-/// What a row is about: a kind of call of a service, whatever its weight and organisation.
+/// Labels of a row: a kind of call to a service, for all weights and organisations.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Row {
     service: SmolStr,
     kind: SmolStr,
 }
 
-/// Totals since the start of the process. Clones share them.
+/// Total numbers of calls since the start of the process. Clones share the totals.
 #[derive(Clone, Debug, Default)]
 pub struct Calls {
     rows: Arc<Mutex<collections::BTreeMap<Row, usage::Totals>>>,
 }
 
 impl Calls {
-    /// Adds what was counted.
+    /// Adds the counts of `delta`.
     pub fn add(&self, delta: &usage::Delta) {
         let mut rows = self.rows.lock().unwrap_or_else(PoisonError::into_inner);
         for (label, totals) in &delta.rows {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A copy of the rows.
+    /// Returns a copy of the rows.
     fn snapshot(&self) -> Vec<(Row, usage::Totals)> {
         let rows = self.rows.lock().unwrap_or_else(PoisonError::into_inner);
         rows.iter().map(|(label, totals)| (label.clone(), *totals)).collect()
--- a/src/admin/mesh_status.rs
+++ b/src/admin/mesh_status.rs
@@ -1,4 +1,4 @@
-//! The status of the mesh, put together from the answers of its nodes.
+//! The status of the mesh, combined from the status reports of its nodes.
 
 use std::collections;
 
@@ -8,7 +8,7 @@
 use crate::admin::status;
 use crate::logs::reachability;
 
-/// Most hosts that are named in one list of a report; the counts are always complete.
+/// Maximum number of hosts in one list of a report. The counts are always complete.
 pub const MAX_NAMED_HOSTS: usize = 50;
 
 /// How much of the mesh a report covers.
@@ -16,22 +16,22 @@
 pub struct Coverage {
     /// Nodes that answered.
     pub heard: u32,
-    /// Nodes that the asked node knows, itself included.
+    /// Nodes known to the node that creates the report, including itself.
     pub hosts: u32,
-    /// Whether all of them answered. A report that is not whole counts only those that did.
+    /// Whether all of them answered. An incomplete report covers only those that did.
     pub whole: bool,
-    /// Some of the hosts that did not answer, at most [`MAX_NAMED_HOSTS`].
+    /// Hosts that did not answer, at most [`MAX_NAMED_HOSTS`].
     pub missing: Vec<SmolStr>,
 }
 
 impl Coverage {
-    /// The coverage when `heard` nodes answered and those of `missing` did not.
-    pub fn new(heard: usize, mut missing: Vec<SmolStr>) -> Self {
-        let hosts = heard + missing.len();
+    /// Creates the coverage of a report in which `answered` nodes answered and `missing` did not.
+    pub fn new(answered: usize, mut missing: Vec<SmolStr>) -> Self {
+        let hosts = answered + missing.len();
         let whole = missing.is_empty();
         missing.truncate(MAX_NAMED_HOSTS);
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-        Self { heard: count(heard), hosts: count(hosts), whole, missing }
+        Self { heard: count(answered), hosts: count(hosts), whole, missing }
     }
 }
 
@@ -46,7 +46,7 @@
     pub nodes: u32,
 }
 
-/// A node that runs something older than the newest version heard of.
+/// A node that runs an older version than the newest one in the report.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Behind {
     /// Its base address.
@@ -66,14 +66,13 @@
     pub answers: u32,
     /// Nodes whose last request failed.
     pub fails: u32,
-    /// Nodes that have not asked it.
+    /// Nodes that have not sent a request yet.
     pub unasked: u32,
-    /// Since when it has failed for the node that noticed first, in milliseconds since the Unix
-    /// epoch.
+    /// Start of the longest current outage that a node sees, in milliseconds since the Unix epoch.
     pub fails_since_unix_ms: Option<u64>,
 }
 
-/// The mesh as heard.
+/// The status of the mesh according to the nodes that answered.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct MeshStatus {
     /// How much of the mesh this covers.
@@ -88,18 +87,18 @@
     pub running: Vec<Running>,
     /// How many nodes are behind.
     pub behind: u32,
-    /// Some of them, at most [`MAX_NAMED_HOSTS`], oldest version first.
+    /// Nodes that are behind, at most [`MAX_NAMED_HOSTS`], oldest version first.
     pub behind_hosts: Vec<Behind>,
     /// Nodes that are not ready.
     pub unready: u32,
-    /// The log.
+    /// How the log answers.
     pub log: Log,
-    /// Upstreams by service and phase, each as its own node says.
+    /// Upstreams by service and phase, as reported by the nodes beside them.
     pub upstreams: collections::BTreeMap<SmolStr, status::Upstreams>,
 }
 
-/// Puts `answers` together at wall-clock time `unix_ms`; the hosts of `missing` did not answer.
-pub fn mesh(answers: &[status::Status], missing: Vec<SmolStr>, unix_ms: u64) -> MeshStatus {
+/// Combines `answers` at the wall-clock time `unix_ms`; the hosts of `missing` did not answer.
+pub fn combine(answers: &[status::Status], missing: Vec<SmolStr>, unix_ms: u64) -> MeshStatus {
     let newest = answers.iter().map(|a| a.version).max().unwrap_or(0);
     let runs_newest = || answers.iter().filter(|a| a.version == newest);
     let newest_unix_ms = runs_newest().filter_map(|a| a.applied_unix_ms).min();
--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -1,4 +1,4 @@
-//! The registry of metrics that every duty adds its own to.
+//! The registry of metrics, to which every duty adds its own.
 
 use std::fmt;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 /// Prefix of the name of every metric.
 const PREFIX: &str = "dandelionspool";
 
-/// A handle on the registry of this process. Clones share it.
+/// A handle to the registry of this process. Clones share the registry.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Arc<Mutex<registry::Registry>>,
@@ -32,19 +32,20 @@
 }
 
 impl Metrics {
-    /// An empty registry.
+    /// Creates an empty registry.
     pub fn new() -> Self {
         let registry = registry::Registry::with_prefix(PREFIX);
         Self { registry: Arc::new(Mutex::new(registry)) }
     }
 
-    /// Adds `metric` under `name` and returns a handle that updates it. `help` has no full stop.
+    /// Adds `metric` under `name` and returns a handle that updates it. `help` must not end with a
+    /// full stop, which the encoder adds.
     pub fn register<M: registry::Metric + Clone>(&self, name: &str, help: &str, metric: M) -> M {
         self.lock().register(name, help, metric.clone());
         metric
     }
 
-    /// Adds a collector, asked on each scrape.
+    /// Adds a collector, which is called on each scrape.
     pub fn collect(&self, collector: impl collector::Collector) {
         self.lock().register_collector(Box::new(collector));
     }
@@ -54,19 +55,20 @@
         self.collect(Ring { name, refusals: ring.refusals() });
     }
 
-    /// Adds what the calls found out of requests under which upstreams end.
+    /// Adds the counts of upstream crashes and of quarantined requests.
     pub fn quarantine(&self, counts: &quarantine::Counts) {
-        let (ends, refused, held) = (&counts.crashes, &counts.refused, &counts.quarantined);
-        self.register("upstream_ends", "Ends of the upstream while it ran calls", ends.clone());
+        let (crashes, refused, quarantined) =
+            (&counts.crashes, &counts.refused, &counts.quarantined);
+        self.register("upstream_ends", "Ends of the upstream while it ran calls", crashes.clone());
         self.register("quarantine_refused", "Calls refused as quarantined", refused.clone());
-        self.register("quarantine_held", "Requests held responsible for ends", held.clone());
+        self.register("quarantine_held", "Requests held responsible for ends", quarantined.clone());
     }
 
-    /// All metrics in the OpenMetrics text format.
+    /// Returns all metrics in the OpenMetrics text format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
         if let Err(error) = encoding::text::encode(&mut text, &self.lock()) {
-            log::error!(error:% = error; "the metrics can't be encoded");
+            log::error!(error:% = error; "cannot encode the metrics");
         }
         text
     }
@@ -76,7 +78,7 @@
     }
 }
 
-/// Refusals of one ring.
+/// Metric of the items that one ring refused.
 #[derive(Debug)]
 struct Ring {
     name: &'static str,
@@ -93,11 +95,11 @@
     }
 }
 
-/// Control traffic by purpose.
+/// Metrics of the control traffic by purpose.
 #[derive(Debug)]
 pub struct Traffic(pub Arc<traffic::Traffic>);
 
-/// Name, help and value of one counter of a purpose.
+/// Name and help text of a counter, and the function that reads its value.
 type Column = (&'static str, &'static str, fn(&status::Counts) -> u64);
 
 const COLUMNS: [Column; 4] = [
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -19,15 +19,15 @@
 #[cfg(test)]
 mod tests;
 
-/// Why the operators' port can't be served.
+/// Error of serving the operators' port.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The address can't be listened on.
-    #[error("can't listen on {address} for operators")]
+    /// The address can't be bound.
+    #[error("can't listen on {address} for the operators' port")]
     Bind {
         /// The address.
         address: net::SocketAddr,
-        /// The operating system's answer.
+        /// The operating system's error.
         source: io::Error,
     },
 }
--- a/src/admin/query.rs
+++ b/src/admin/query.rs
@@ -1,4 +1,4 @@
-//! One question to the operators' port of a node.
+//! Requests to the operators' port of a node.
 
 use std::io;
 use std::net;
@@ -10,40 +10,40 @@
 use hyper_util::rt;
 use tokio::net::TcpStream;
 
-/// Largest answer accepted, in bytes.
+/// Maximum size of an answer.
 const MAX_ANSWER_BYTES: usize = 32 << 20;
 
-/// Why there is no answer.
+/// Why a request has no usable answer.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No connection.
+    /// The connection can't be opened.
     #[error("can't connect to {0}")]
     Connect(net::SocketAddr, #[source] io::Error),
-    /// The connection broke, or what came is not HTTP.
-    #[error("the exchange with {0} failed")]
+    /// The connection broke, or the peer does not speak HTTP.
+    #[error("the HTTP request to {0} failed")]
     Exchange(net::SocketAddr, #[source] hyper::Error),
-    /// The answer broke off or is too large.
-    #[error("the answer of {0} is not whole")]
+    /// The answer was truncated or is too large.
+    #[error("the answer of {0} is truncated or too large")]
     Answer(net::SocketAddr, #[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The answer is not the JSON that was asked for.
-    #[error("{0} did not answer with a report")]
+    /// The answer does not have the expected JSON form.
+    #[error("the answer of {0} is not a valid report")]
     Malformed(net::SocketAddr, #[source] serde_json::Error),
     /// The request can't be built.
     #[error("the request is not valid")]
     Request(#[from] http::Error),
-    /// The node refused.
+    /// The node refused the request.
     #[error("{0} answered with status {1}")]
     Status(net::SocketAddr, http::StatusCode),
-    /// No whole answer in time.
-    #[error("no whole answer from {0} in time")]
+    /// There was no complete answer in time.
+    #[error("no complete answer from {0} in time")]
     Timeout(net::SocketAddr),
 }
 
-/// Asks `node` for `path` on a new connection and reads its JSON answer, within `limit`.
+/// Requests `path` from `node` on a new connection and reads the JSON answer, within `limit`.
 ///
 /// # Errors
 ///
-/// Fails when there is no whole answer of that form in time.
+/// Fails when there is no complete answer of the expected form in time.
 pub async fn json<T: serde::de::DeserializeOwned>(
     node: net::SocketAddr,
     path: &str,
@@ -73,7 +73,7 @@
     tokio::select! {
         done = &mut answer => done,
         ended = connection => match ended {
-            // The connection may end in the same moment in which the whole answer is there.
+            // The connection may end at the same moment as the answer is complete.
             Ok(()) => answer.await,
             Err(error) => Err(broken(error)),
         },
--- a/src/admin/reply.rs
+++ b/src/admin/reply.rs
@@ -1,14 +1,14 @@
-//! Answers of the operators' port.
+//! HTTP answers of the operators' port.
 
 use bytes::Bytes;
 use http::header;
 use http_body_util::Full;
 use serde::Serialize;
 
-/// An answer.
+/// An HTTP answer.
 pub type Reply = http::Response<Full<Bytes>>;
 
-/// Media type of [`text`] answers to scrapes.
+/// Media type of the [`text`] answer to a scrape.
 pub const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 const JSON: &str = "application/json";
@@ -17,25 +17,25 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// The body is not the JSON that the path takes.
+    /// The body is not the JSON that the path requires.
     #[error("the body is not the JSON that this path takes")]
     Body,
-    /// Too many reports on the whole mesh are being made.
+    /// Too many reports on the whole mesh are being created.
     #[error("other reports on the whole mesh are being made; try again")]
     Busy,
-    /// The path does not take the method.
+    /// The path does not support the method.
     #[error("this path does not take this method")]
     Method,
-    /// There is no such path.
+    /// The path does not exist.
     #[error("there is no such path")]
     Path,
-    /// Only the upstream's own host may announce.
+    /// The peer is not on the upstream's own host and must not announce it.
     #[error("an upstream announces itself from its own host only")]
     Peer,
 }
 
 impl Refusal {
-    /// The status that says so.
+    /// Returns the status code of the answer.
     pub const fn status(self) -> http::StatusCode {
         match self {
             Refusal::Body => http::StatusCode::BAD_REQUEST,
@@ -47,41 +47,41 @@
     }
 }
 
-/// An error as JSON: a code for programs and a sentence for people.
+/// The JSON of an error: a code for programs and a sentence for people.
 #[derive(Serialize)]
 struct Problem<E> {
     error: E,
     message: String,
 }
 
-/// The answer to a refused request.
+/// Returns the answer to a refused request.
 pub fn refuse(refusal: Refusal) -> Reply {
     problem(refusal.status(), refusal)
 }
 
-/// An answer with `status` that names `error`.
+/// Returns an answer with `status` that describes `error`.
 pub fn problem<E: Serialize + std::error::Error>(status: http::StatusCode, error: E) -> Reply {
     let message = error.to_string();
     json(status, &Problem { error, message })
 }
 
-/// An answer with `body` as JSON.
+/// Returns an answer with `body` as JSON.
 pub fn json<T: Serialize>(status: http::StatusCode, body: &T) -> Reply {
     match serde_json::to_vec(body) {
         Ok(bytes) => build(status, JSON, bytes.into()),
         Err(error) => {
-            log::error!(error:% = error; "a report can't be written as JSON");
+            log::error!(error:% = error; "cannot encode a report as JSON");
             build(http::StatusCode::INTERNAL_SERVER_ERROR, JSON, Bytes::new())
         }
     }
 }
 
-/// An answer with `body` as text of the media type `media`.
+/// Returns an answer with the text `body` of media type `media`.
 pub fn text(media: &'static str, body: String) -> Reply {
     build(http::StatusCode::OK, media, body.into())
 }
 
-/// An answer without a body.
+/// Returns an answer without a body.
 pub fn empty() -> Reply {
     build(http::StatusCode::NO_CONTENT, JSON, Bytes::new())
 }
--- a/src/admin/scatter.rs
+++ b/src/admin/scatter.rs
@@ -1,4 +1,4 @@
-//! Asking every host of the mesh, a few at a time and within a limit.
+//! Queries to all hosts of the mesh, with limits on concurrency and time.
 
 use std::future;
 use std::time;
@@ -9,27 +9,27 @@
 use crate::host;
 use crate::view;
 
-/// How a report on the whole mesh is gathered.
+/// Limits for gathering the answers of many hosts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Hosts asked at once.
+    /// Maximum number of hosts queried concurrently.
     pub concurrency: usize,
-    /// Longest the whole may take.
+    /// Timeout for all answers together.
     pub timeout: time::Duration,
 }
 
-/// What came back.
+/// The answers that were gathered.
 ///
-/// Invariant: each host that was asked is either counted in `answers` or in `missing`.
+/// Invariant: each queried host has either an answer in `answers` or an entry in `missing`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Gathered<T> {
-    /// The answers, in no order.
+    /// The answers, in no particular order.
     pub answers: Vec<T>,
     /// Hosts that did not answer, sorted.
     pub missing: Vec<host::HostId>,
 }
 
-/// Asks each of `hosts` by `ask`, in the given order.
+/// Calls `ask` for each of `hosts`, in their order, and gathers the answers.
 pub async fn gather<T, E, A, F>(hosts: &[host::HostId], limits: Limits, ask: A) -> Gathered<T>
 where
     A: Fn(host::HostId) -> F,
@@ -41,7 +41,7 @@
     });
     let mut arriving = stream::iter(asked).buffer_unordered(limits.concurrency.max(1));
     let mut answers = Vec::with_capacity(hosts.len());
-    let mut heard = Vec::with_capacity(hosts.len());
+    let mut answered = Vec::with_capacity(hosts.len());
     let limit = tokio::time::sleep(limits.timeout);
     tokio::pin!(limit);
     loop {
@@ -51,21 +51,21 @@
         };
         match arrived {
             Some((host, Ok(answer))) => {
-                heard.push(host);
+                answered.push(host);
                 answers.push(answer);
             }
             Some((_, Err(_))) => {}
             None => break,
         }
     }
-    heard.sort();
+    answered.sort();
     let mut missing: Vec<host::HostId> =
-        hosts.iter().copied().filter(|h| heard.binary_search(h).is_err()).collect();
+        hosts.iter().copied().filter(|h| answered.binary_search(h).is_err()).collect();
     missing.sort();
     Gathered { answers, missing }
 }
 
-/// The hosts of `view` but `own`, those first that probably answer.
+/// Returns the hosts of `view` except `own`, healthy ones first.
 pub fn other_hosts(view: &view::View, own: host::HostId) -> Vec<host::HostId> {
     let mut hosts: Vec<&view::Host> = view.hosts.iter().filter(|h| h.id != own).collect();
     hosts.sort_by_key(|h| (h.health, h.id));
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! Requests to the operators' port.
+//! HTTP server of the operators' port.
 
 use std::net;
 use std::rc::Rc;
@@ -20,34 +20,34 @@
 use crate::admin::reply::{self, Refusal, Reply};
 use crate::admin::state;
 
-/// Path below which an upstream announces itself by the name of its instance.
+/// Path prefix at which an upstream announces itself, followed by the name of its instance.
 const INSTANCES: &str = "/upstream/";
 
-/// Largest announcement accepted, in bytes.
+/// Maximum size of an announcement.
 const MAX_BODY_BYTES: usize = 4096;
 
-/// Longest a client may take to send the head of a request.
+/// Timeout for receiving the head of a request.
 const HEAD_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
-/// How long the listener rests after a failed accept.
-const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(50);
+/// Pause after a failed accept.
+const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(50);
 
-/// Accepts connections for ever, as many at once as `connections`.
+/// Accepts connections until it is aborted, with at most `connections` open at a time.
 pub async fn accept(listener: TcpListener, state: Rc<state::State>, connections: usize) {
-    let places = Arc::new(Semaphore::new(connections.max(1)));
+    let permits = Arc::new(Semaphore::new(connections.max(1)));
     loop {
-        let Ok(place) = Arc::clone(&places).acquire_owned().await else { return };
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
         match listener.accept().await {
             Ok((stream, peer)) => {
                 let state = Rc::clone(&state);
                 task::spawn_local(async move {
                     connection(stream, peer, state).await;
-                    drop(place);
+                    drop(permit);
                 });
             }
             Err(error) => {
-                log::warn!(error:% = error; "can't accept a connection for operators");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!(error:% = error; "cannot accept a connection on the operators' port");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -62,7 +62,7 @@
     builder.timer(rt::TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT);
     let served = builder.serve_connection(rt::TokioIo::new(stream), handler).await;
     if let Err(error) = served {
-        log::debug!(error:% = error; "a connection for operators ended");
+        log::debug!(error:% = error; "a connection on the operators' port failed");
     }
 }
 
@@ -71,7 +71,7 @@
     peer: net::IpAddr,
     request: http::Request<body::Incoming>,
 ) -> Reply {
-    let whole = request.uri().query() == Some("mesh=1");
+    let mesh_wide = request.uri().query() == Some("mesh=1");
     let path = request.uri().path();
     if let Some(instance) = path.strip_prefix(INSTANCES).map(SmolStr::new) {
         return upstream(state, peer, &instance, request).await;
@@ -80,9 +80,9 @@
         (&http::Method::GET, "/live") => reply::empty(),
         (&http::Method::GET, "/ready") => ready(state),
         (&http::Method::GET, "/metrics") => reply::text(reply::OPENMETRICS, state.metrics()),
-        (&http::Method::GET, "/status") if whole => mesh_status(state).await,
+        (&http::Method::GET, "/status") if mesh_wide => mesh_status(state).await,
         (&http::Method::GET, "/status") => reply::json(http::StatusCode::OK, &state.status()),
-        (&http::Method::GET, "/burn") if whole => mesh_burn(state).await,
+        (&http::Method::GET, "/burn") if mesh_wide => mesh_burn(state).await,
         (&http::Method::GET, "/burn") => reply::json(http::StatusCode::OK, &state.burn()),
         (&http::Method::PUT | &http::Method::DELETE, "/upstream") => {
             upstream(state, peer, &SmolStr::default(), request).await
@@ -130,11 +130,11 @@
     if !state.admits(peer) {
         return reply::refuse(Refusal::Peer);
     }
-    let leaves = request.method() == http::Method::DELETE;
+    let withdraws = request.method() == http::Method::DELETE;
     let Some(body) = read(request.into_body()).await else {
         return reply::refuse(Refusal::Body);
     };
-    if leaves {
+    if withdraws {
         return withdraw(state, instance, &body);
     }
     let announcement = match serde_json::from_slice::<announce::Announcement>(&body) {
@@ -143,7 +143,7 @@
     };
     match state.announce(instance, announcement) {
         Ok(()) => reply::empty(),
-        // It is kept, or there is nothing in it to mend.
+        // The announcement is kept, or the sender has nothing to correct.
         Err(fault) if fault.needs_no_correction() => {
             reply::problem(http::StatusCode::ACCEPTED, fault)
         }
@@ -151,7 +151,7 @@
     }
 }
 
-/// Takes a withdrawal, whose body may be missing.
+/// Handles a withdrawal, whose body may be empty.
 fn withdraw(state: &state::State, instance: &SmolStr, body: &[u8]) -> Reply {
     let withdrawal = match body {
         [] => Ok(None),
@@ -160,7 +160,10 @@
     let withdrawal = withdrawal.map(Option::unwrap_or_default);
     match withdrawal {
         Ok(withdrawal) => {
-            log::info!(instance:% = instance, born:? = withdrawal.born; "the upstream has withdrawn");
+            log::info!(
+                instance:% = instance, born:? = withdrawal.born;
+                "the upstream has withdrawn"
+            );
             state.withdraw(instance, withdrawal);
             reply::empty()
         }
@@ -168,9 +171,9 @@
     }
 }
 
-/// Refuses what can't be read; the upstream that is known stays.
+/// Refuses a body that can't be parsed; the current announcement stays in force.
 fn unreadable(instance: &SmolStr, error: &serde_json::Error) -> Reply {
-    log::warn!(instance:% = instance, error:% = error; "what was said of an upstream can't be read");
+    log::warn!(instance:% = instance, error:% = error; "cannot parse the body sent by an upstream");
     reply::refuse(Refusal::Body)
 }
 
--- a/src/admin/shell.rs
+++ b/src/admin/shell.rs
@@ -1,4 +1,4 @@
-//! The thread of the reports duty: announcements, metrics, health and status.
+//! The admin duty: serves announcements, metrics, health and status at the operators' port.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -23,28 +23,28 @@
 use crate::usage;
 use crate::view;
 
-/// How often leases are looked at.
+/// Interval of checks for expired leases.
 const LEASE_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
-/// Longest wait for the last counts of the call path at the end.
+/// Maximum wait at the end for the last counts of the call path.
 const FINAL_COUNTS_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
 
-/// What joins the reports duty to the others.
+/// Channels and shared state that connect the admin duty with the others.
 #[derive(Debug)]
 pub struct Wiring {
-    /// Configuration this node runs.
+    /// The applied configuration.
     pub applied: watch::Receiver<Arc<mesh::Applied>>,
     /// The known hosts.
     pub view: watch::Receiver<Arc<view::View>>,
-    /// From the call path: what was seen of that upstream while its version is tried.
+    /// From the call path: answer counts of the local upstream while its version is on trial.
     pub trial: watch::Receiver<rollout::TrialReport>,
-    /// Where the upstream beside this node is put; `None` while there is none.
+    /// To the other duties: the upstream beside this node; `None` while there is none.
     pub local: watch::Sender<Option<Arc<node::LocalUpstream>>>,
-    /// Whether the log answers, see [`reachability::Watched`].
+    /// Whether the log answers; see [`reachability::Watched`].
     pub reach: watch::Receiver<reachability::Reachability>,
-    /// From the call path: what was counted. Full: the counts stay there and come with the next.
+    /// From the call path: usage counts. If full, the call path adds the counts to the next ones.
     pub tallies: ring::Receiver<usage::Delta>,
-    /// To the ledger: the same counts. Full: this duty waits, and the counts stay in the call path.
+    /// To the ledger: the same counts. If full, this duty waits, and counts stay in the call path.
     pub usage: ring::Sender<usage::Delta>,
     /// Registry of metrics.
     pub metrics: metrics::Metrics,
@@ -54,12 +54,12 @@
     pub traffic: Arc<traffic::Traffic>,
 }
 
-/// Runs the duty until the stage is [`node::Stage::End`]; spawns local tasks, so that it needs a
-/// `tokio::task::LocalSet` such as [`node::duty::Duty`] gives.
+/// Runs the duty until the stage is [`node::Stage::End`]. It spawns local tasks and therefore needs
+/// a `tokio::task::LocalSet`, as [`node::duty::Duty`] provides.
 ///
 /// # Errors
 ///
-/// Fails when the port can't be listened on.
+/// Fails when a port can't be bound.
 pub async fn run(
     ctx: context::Context,
     settings: Arc<configs::Node>,
@@ -103,16 +103,16 @@
         tasks.push(task::spawn_local(accept));
     }
     let mut counting = task::spawn_local(count(Rc::clone(&state), tallies, calls, usage));
-    // A dropped sender means that the process ends, too.
+    // A dropped sender also means that the process ends.
     let _ = stage.wait_for(|&stage| stage == node::Stage::End).await;
-    // The call path ends at the same time and hands over its last counts.
+    // The call path ends at the same time and sends its last counts.
     let _ = tokio::time::timeout(FINAL_COUNTS_TIMEOUT, &mut counting).await;
     counting.abort();
     tasks.iter().for_each(task::JoinHandle::abort);
     Ok(())
 }
 
-/// Follows the configuration and the leases.
+/// Publishes the local upstream on each change of the configuration and after each lease check.
 async fn follow(state: Rc<state::State>) {
     let mut applied = state.applied.clone();
     applied.mark_changed();
@@ -133,7 +133,7 @@
     }
 }
 
-/// Takes what the call path counted, until the call path has ended.
+/// Receives counts from the call path and forwards them to the ledger, until the call path ends.
 async fn count(
     state: Rc<state::State>,
     mut tallies: ring::Receiver<usage::Delta>,
@@ -143,10 +143,10 @@
     while let Some(delta) = tallies.recv().await {
         calls.add(&delta);
         state.book.borrow_mut().add(&delta, state.ctx.clock.unix_millis());
-        // While the ledger is behind, the counts wait in the ring before this one, and in the
-        // call path's tally.
+        // While the ledger is behind, counts wait in the ring from the call path and in its
+        // tally.
         if ledger.send(delta).await.is_err() {
-            log::warn!("the ledger has ended before the reports");
+            log::warn!("the ledger ended before the admin duty; usage counts are lost");
         }
     }
 }
--- a/src/admin/state.rs
+++ b/src/admin/state.rs
@@ -1,4 +1,4 @@
-//! What the connections of the operators' port share, and what they are told.
+//! State shared by the connections of the operators' port, and the reports made from it.
 
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -21,10 +21,10 @@
 use crate::traffic;
 use crate::view;
 
-/// Reports on the whole mesh made at once.
+/// Maximum number of concurrent reports on the whole mesh.
 pub(super) const MAX_REPORTS: usize = 2;
 
-/// What the connections of the port share.
+/// State shared by the connections of the port.
 #[derive(Debug)]
 pub struct State {
     pub(super) ctx: context::Context,
@@ -41,17 +41,17 @@
     pub(super) traffic: Arc<traffic::Traffic>,
     pub(super) announcements: RefCell<announce::Registry>,
     pub(super) book: RefCell<book::Book>,
-    /// When the applied configuration was seen, in milliseconds since the Unix epoch.
+    /// When this duty received the applied configuration, in milliseconds since the Unix epoch.
     pub(super) applied_unix_ms: Cell<Option<u64>>,
     pub(super) reports: Semaphore,
 }
 
-/// Whether the node may take calls, and why not.
+/// The conditions under which the node may take calls.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub struct Readiness {
     /// It runs an accepted configuration.
     pub configured: bool,
-    /// It is a member of the mesh, as far as it knows.
+    /// It considers itself a member of the mesh.
     pub member: bool,
     /// It is not being stopped.
     pub running: bool,
@@ -70,11 +70,11 @@
         self.announcements.borrow().admits(peer)
     }
 
-    /// Takes an announcement.
+    /// Applies an announcement; see [`announce::Registry::announce`].
     ///
     /// # Errors
     ///
-    /// Names what is wrong with it.
+    /// Returns why it was not applied.
     pub fn announce(
         &self,
         instance: &SmolStr,
@@ -87,32 +87,32 @@
         result
     }
 
-    /// Takes the announcement back.
+    /// Withdraws the announcement of `instance`.
     pub fn withdraw(&self, instance: &SmolStr, withdrawal: announce::Withdrawal) {
         self.announcements.borrow_mut().withdraw(instance, withdrawal.born);
         self.publish();
     }
 
-    /// Tells the other duties which upstream is beside this node.
+    /// Publishes the upstream beside this node to the other duties if it has changed.
     pub(super) fn publish(&self) {
         let mesh = Arc::clone(&self.applied.borrow().mesh);
         let mut local = self.announcements.borrow().local(&mesh);
         if let Some(local) = &mut local {
             local.upstream.trial = *self.trial.borrow();
         }
-        self.local.send_if_modified(|held| {
-            let changed = held.as_deref() != local.as_ref();
+        self.local.send_if_modified(|published| {
+            let changed = published.as_deref() != local.as_ref();
             if changed {
-                if !equal_except_trial(held.as_deref(), local.as_ref()) {
+                if !equal_except_trial(published.as_deref(), local.as_ref()) {
                     log_upstream(local.as_ref());
                 }
-                *held = local.map(Arc::new);
+                *published = local.map(Arc::new);
             }
             changed
         });
     }
 
-    /// Whether the node may take calls.
+    /// Checks whether the node may take calls.
     pub fn readiness(&self) -> Readiness {
         Readiness {
             configured: self.applied.borrow().version_id.version.number() > 0,
@@ -121,12 +121,12 @@
         }
     }
 
-    /// All metrics as text.
+    /// Returns all metrics as text.
     pub fn metrics(&self) -> String {
         self.metrics.encode()
     }
 
-    /// The status of this node.
+    /// Returns the status of this node.
     pub fn status(&self) -> status::Status {
         let view = Arc::clone(&self.view.borrow());
         let local = self.local.borrow().clone();
@@ -144,32 +144,32 @@
         source.status()
     }
 
-    /// The status of the mesh; `None` when too many such reports are being made.
+    /// Returns the status of the mesh; `None` if too many such reports are being created.
     pub async fn mesh_status(&self) -> Option<mesh_status::MeshStatus> {
-        let _place = self.reports.try_acquire().ok()?;
+        let _permit = self.reports.try_acquire().ok()?;
         let mut gathered = self.gather::<status::Status>("/status").await;
         gathered.answers.push(self.status());
         let missing = gathered.missing.iter().map(|h| smol_str::format_smolstr!("{h}"));
         let missing: Vec<SmolStr> = missing.collect();
-        Some(mesh_status::mesh(&gathered.answers, missing, self.ctx.clock.unix_millis()))
+        Some(mesh_status::combine(&gathered.answers, missing, self.ctx.clock.unix_millis()))
     }
 
-    /// What this node counted for the objectives of its configuration.
+    /// Returns this node's counts for the objectives of its configuration.
     pub fn burn(&self) -> book::Page {
         let mesh = Arc::clone(&self.applied.borrow().mesh);
         self.book.borrow().page(&mesh, self.ctx.clock.unix_millis())
     }
 
-    /// The report on service levels; `None` when too many such reports are being made.
+    /// Returns the report on service levels; `None` if too many such reports are being created.
     pub async fn mesh_burn(&self) -> Option<report::Report> {
-        let _place = self.reports.try_acquire().ok()?;
+        let _permit = self.reports.try_acquire().ok()?;
         let mut gathered = self.gather::<book::Page>("/burn").await;
         gathered.answers.insert(0, self.burn());
         let missing = gathered.missing.iter().map(|h| smol_str::format_smolstr!("{h}"));
         Some(report::report(&gathered.answers, missing.collect()))
     }
 
-    /// Asks all other nodes for `path`.
+    /// Requests `path` from all other nodes.
     async fn gather<T: serde::de::DeserializeOwned>(&self, path: &str) -> scatter::Gathered<T> {
         let hosts = scatter::other_hosts(&self.view.borrow(), self.host);
         let limits = scatter::Limits {
@@ -181,18 +181,18 @@
     }
 }
 
-/// Whether both are the same but for what was seen of their answers.
+/// Whether both are equal, apart from the trial report of the upstream.
 fn equal_except_trial(
     old: Option<&node::LocalUpstream>,
     new: Option<&node::LocalUpstream>,
 ) -> bool {
     let (Some(old), Some(new)) = (old, new) else { return old.is_none() && new.is_none() };
-    let mut seen = new.clone();
-    seen.upstream.trial = old.upstream.trial;
-    seen == *old
+    let mut new = new.clone();
+    new.upstream.trial = old.upstream.trial;
+    new == *old
 }
 
-/// Logs what the node believes of its upstream from now on.
+/// Logs the upstream beside this node after a change.
 fn log_upstream(local: Option<&node::LocalUpstream>) {
     let Some(local) = local else { return log::info!("no upstream is beside this node") };
     let upstream = &local.upstream;
--- a/src/admin/status.rs
+++ b/src/admin/status.rs
@@ -1,4 +1,4 @@
-//! What one node says of itself and of what it sees.
+//! The status report of one node, on itself and on the mesh as it sees it.
 
 use std::collections;
 use std::sync::atomic;
@@ -22,7 +22,7 @@
     pub received: u64,
     /// Datagrams or frames sent.
     pub messages: u64,
-    /// Datagrams or frames dropped.
+    /// Invalid datagrams or frames that were dropped.
     pub dropped: u64,
 }
 
@@ -31,22 +31,22 @@
 pub struct Members {
     /// Hosts that answer.
     pub alive: u32,
-    /// Hosts that did not answer a probe and may still refute.
+    /// Hosts that did not answer a probe and can still refute the suspicion.
     pub suspect: u32,
-    /// Hosts declared dead or cut off.
+    /// Hosts that were declared dead or are cut off.
     pub unreachable: u32,
 }
 
-/// Upstreams of one service by phase. Those whose node is unreachable count only as such.
+/// Upstreams of one service by phase. Those with an unreachable node count only as unreachable.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Upstreams {
     /// Started a moment ago.
     pub warming: u32,
-    /// Serve.
+    /// Serve calls.
     pub serving: u32,
     /// Get no new calls.
     pub draining: u32,
-    /// Their node does not answer.
+    /// Their node is unreachable.
     pub unreachable: u32,
 }
 
@@ -59,13 +59,13 @@
     pub class: SmolStr,
     /// Life cycle: `warming`, `serving` or `draining`.
     pub phase: SmolStr,
-    /// Calls it runs at once, within the limit of its class.
+    /// Maximum number of concurrent calls, within the limit of its class.
     pub slots: u16,
-    /// Connections it accepts, within the limit of its class.
+    /// Maximum number of connections, within the limit of its class.
     pub connections: u16,
 }
 
-/// One node.
+/// Status of one node.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Status {
     /// Base address of the node.
@@ -74,9 +74,9 @@
     pub region: SmolStr,
     /// Its availability zone.
     pub zone: SmolStr,
-    /// Life of its process.
+    /// Incarnation of its process.
     pub incarnation: u64,
-    /// Whether it takes calls: see [`crate::admin::state::Readiness`].
+    /// Whether it takes calls; see [`crate::admin::state::Readiness`].
     pub ready: bool,
     /// Number of the version it runs; 0 while it runs none.
     pub version: u64,
@@ -84,28 +84,28 @@
     pub digest: String,
     /// When it applied that version, in milliseconds since the Unix epoch.
     pub applied_unix_ms: Option<u64>,
-    /// Whether the log answers it, and since when.
+    /// Whether the log answers its requests, and since when it fails.
     pub log: reachability::Reachability,
     /// The upstream beside it.
     pub local: Option<Local>,
-    /// Hosts it knows, by health.
+    /// Known hosts by health.
     pub members: Members,
-    /// Upstreams it knows, by service and phase.
+    /// Known upstreams by service and phase.
     pub upstreams: collections::BTreeMap<SmolStr, Upstreams>,
     /// Its control traffic by purpose.
     pub traffic: collections::BTreeMap<SmolStr, Counts>,
 }
 
-/// What a status is made from.
+/// The inputs of a status report.
 #[derive(Clone, Copy, Debug)]
 pub struct Source<'a> {
     /// This host.
     pub host: host::HostId,
-    /// Where it stands.
+    /// Its region and availability zone.
     pub locality: &'a view::Locality,
-    /// What it runs.
+    /// The version it runs.
     pub version_id: version::VersionId,
-    /// When it was applied.
+    /// When that version was applied, in milliseconds since the Unix epoch.
     pub applied_unix_ms: Option<u64>,
     /// The known hosts.
     pub view: &'a view::View,
@@ -120,7 +120,7 @@
 }
 
 impl Source<'_> {
-    /// The status.
+    /// Creates the status report.
     pub fn status(&self) -> Status {
         let counts = traffic(self.traffic).into_iter();
         Status {
@@ -141,7 +141,7 @@
     }
 }
 
-/// Counts of control traffic, each with the name of its purpose.
+/// Returns the counts of control traffic, each with the name of its purpose.
 pub fn traffic(traffic: &traffic::Traffic) -> [(&'static str, Counts); traffic::PURPOSES.len()] {
     traffic::PURPOSES.map(|purpose| {
         let counts = traffic.of(purpose);
--- a/src/admin/tests/announce.rs
+++ b/src/admin/tests/announce.rs
@@ -16,7 +16,7 @@
 const HOST: net::IpAddr = net::IpAddr::V4(net::Ipv4Addr::new(10, 1, 2, 3));
 const LEASE: time::Duration = time::Duration::from_millis(6000);
 
-fn desk() -> Registry {
+fn registry() -> Registry {
     Registry::new(HOST, LEASE)
 }
 
@@ -46,10 +46,10 @@
 }
 
 #[test]
-fn limits_of_the_class_hold() {
-    let mut desk = desk();
-    assert_eq!(desk.announce(&instance(""), announcement(), at(0), &shop()), Ok(()));
-    let local = desk.local(&shop()).expect("announced");
+fn slots_are_limited_to_those_of_the_class() {
+    let mut registry = registry();
+    assert_eq!(registry.announce(&instance(""), announcement(), at(0), &shop()), Ok(()));
+    let local = registry.local(&shop()).expect("announced");
     assert_eq!((local.upstream.slots, local.upstream.connections), (9, 100));
     assert_eq!(local.upstream.phase, view::Phase::Serving);
 }
@@ -57,22 +57,22 @@
 #[rstest]
 #[case::before(5999, true)]
 #[case::after(6000, false)]
-fn lease_ends_without_renewal(#[case] millis: u64, #[case] holds: bool) {
-    let mut desk = desk();
-    desk.announce(&instance(""), announcement(), at(0), &shop()).expect("valid");
-    desk.expire(at(millis));
-    assert_eq!(desk.local(&shop()).is_some(), holds);
+fn an_announcement_expires_without_renewal(#[case] millis: u64, #[case] valid: bool) {
+    let mut registry = registry();
+    registry.announce(&instance(""), announcement(), at(0), &shop()).expect("valid");
+    registry.expire(at(millis));
+    assert_eq!(registry.local(&shop()).is_some(), valid);
 }
 
 #[test]
 fn renewal_extends_the_lease() {
-    let mut desk = desk();
-    desk.announce(&instance(""), announcement(), at(0), &shop()).expect("valid");
-    desk.announce(&instance(""), announcement(), at(5000), &shop()).expect("valid");
-    desk.expire(at(10_999));
-    assert!(desk.local(&shop()).is_some());
-    desk.withdraw(&instance(""), None);
-    assert!(desk.local(&shop()).is_none());
+    let mut registry = registry();
+    registry.announce(&instance(""), announcement(), at(0), &shop()).expect("valid");
+    registry.announce(&instance(""), announcement(), at(5000), &shop()).expect("valid");
+    registry.expire(at(10_999));
+    assert!(registry.local(&shop()).is_some());
+    registry.withdraw(&instance(""), None);
+    assert!(registry.local(&shop()).is_none());
 }
 
 #[rstest]
@@ -85,166 +85,193 @@
     Announcement { address: net::SocketAddr::from(([10, 9, 9, 9], 1)), ..announcement() },
     Fault::Address
 )]
-fn faults_are_typed(#[case] announcement: Announcement, #[case] fault: Fault) {
-    let mut desk = desk();
-    assert_eq!(desk.announce(&instance(""), announcement, at(0), &shop()), Err(fault));
-    assert_eq!(desk.local(&shop()), None);
+fn an_unusable_announcement_is_refused(#[case] announcement: Announcement, #[case] fault: Fault) {
+    let mut registry = registry();
+    assert_eq!(registry.announce(&instance(""), announcement, at(0), &shop()), Err(fault));
+    assert_eq!(registry.local(&shop()), None);
 }
 
 #[test]
-fn a_pending_announcement_holds_once_a_configuration_brings_its_class() {
-    let mut desk = desk();
-    let early = desk.announce(&instance(""), announcement(), at(0), &mesh::Mesh::default());
+fn a_pending_announcement_applies_once_a_configuration_has_its_class() {
+    let mut registry = registry();
+    let early = registry.announce(&instance(""), announcement(), at(0), &mesh::Mesh::default());
     assert_eq!(early, Err(Fault::Service));
     assert!(early.is_err_and(Fault::pending));
-    assert!(desk.local(&shop()).is_some());
+    assert!(registry.local(&shop()).is_some());
 }
 
 #[test]
-fn a_refused_announcement_leaves_the_one_that_holds() {
-    let mut desk = desk();
-    desk.announce(&instance(""), announcement(), at(0), &shop()).expect("valid");
+fn a_refused_announcement_keeps_the_current_one() {
+    let mut registry = registry();
+    registry.announce(&instance(""), announcement(), at(0), &shop()).expect("valid");
     let bad = Announcement { slots: 0, ..announcement() };
-    assert_eq!(desk.announce(&instance(""), bad, at(1), &shop()), Err(Fault::Empty));
-    assert!(desk.local(&shop()).is_some());
+    assert_eq!(registry.announce(&instance(""), bad, at(1), &shop()), Err(Fault::Empty));
+    assert!(registry.local(&shop()).is_some());
 }
 
 #[rstest]
 #[case::own(HOST, true)]
 #[case::loopback(net::IpAddr::V4(net::Ipv4Addr::LOCALHOST), true)]
-#[case::stranger(net::IpAddr::V4(net::Ipv4Addr::new(10, 1, 2, 4)), false)]
-fn only_the_own_host_announces(#[case] peer: net::IpAddr, #[case] admitted: bool) {
-    assert_eq!(desk().admits(peer), admitted);
+#[case::other_host(net::IpAddr::V4(net::Ipv4Addr::new(10, 1, 2, 4)), false)]
+fn only_the_own_host_may_announce(#[case] peer: net::IpAddr, #[case] admitted: bool) {
+    assert_eq!(registry().admits(peer), admitted);
 }
 
 #[test]
-fn a_late_announcement_of_an_older_instance_changes_nothing() {
-    let mut desk = desk();
+fn a_delayed_announcement_of_a_replaced_instance_is_ignored() {
+    let mut registry = registry();
     let (old, new) = (instance("old"), instance("new"));
-    desk.announce(&old, announcement(), at(0), &shop()).expect("valid");
-    desk.announce(&new, announcement(), at(1), &shop()).expect("valid");
-    assert_eq!(desk.announce(&old, announcement(), at(2), &shop()), Err(Fault::Stale));
-    assert_eq!(desk.local(&shop()).expect("announced").instance, new);
-    desk.withdraw(&old, None);
-    assert!(desk.local(&shop()).is_some(), "only its own announcement is taken back");
+    registry.announce(&old, announcement(), at(0), &shop()).expect("valid");
+    registry.announce(&new, announcement(), at(1), &shop()).expect("valid");
+    assert_eq!(registry.announce(&old, announcement(), at(2), &shop()), Err(Fault::Stale));
+    assert_eq!(registry.local(&shop()).expect("announced").instance, new);
+    registry.withdraw(&old, None);
+    assert!(
+        registry.local(&shop()).is_some(),
+        "an instance can only withdraw its own announcement"
+    );
 }
 
 #[test]
-fn an_instance_that_has_withdrawn_does_not_come_back() {
-    let mut desk = desk();
-    let gone = instance("gone");
-    desk.announce(&gone, announcement(), at(0), &shop()).expect("valid");
-    desk.withdraw(&gone, None);
-    assert_eq!(desk.announce(&gone, announcement(), at(1), &shop()), Err(Fault::Stale));
-    assert!(desk.local(&shop()).is_none());
+fn a_withdrawn_instance_cannot_announce_again() {
+    let mut registry = registry();
+    let withdrawn = instance("withdrawn");
+    registry.announce(&withdrawn, announcement(), at(0), &shop()).expect("valid");
+    registry.withdraw(&withdrawn, None);
+    assert_eq!(registry.announce(&withdrawn, announcement(), at(1), &shop()), Err(Fault::Stale));
+    assert!(registry.local(&shop()).is_none());
 }
 
 #[test]
-fn an_announcement_that_was_overtaken_changes_nothing() {
-    let mut desk = desk();
+fn an_announcement_with_a_lower_sequence_is_ignored() {
+    let mut registry = registry();
     let one = instance("one");
     let leaving = Announcement { phase: Phase::Draining, sequence: 7, ..announcement() };
-    desk.announce(&one, leaving, at(0), &shop()).expect("valid");
+    registry.announce(&one, leaving, at(0), &shop()).expect("valid");
     let late = Announcement { sequence: 6, ..announcement() };
-    assert_eq!(desk.announce(&one, late, at(1), &shop()), Err(Fault::Stale));
-    let local = desk.local(&shop()).expect("announced");
+    assert_eq!(registry.announce(&one, late, at(1), &shop()), Err(Fault::Stale));
+    let local = registry.local(&shop()).expect("announced");
     assert_eq!(local.upstream.phase, view::Phase::Draining);
 }
 
 #[test]
-fn an_upstream_without_class_belongs_to_the_one_named_like_its_service() {
-    let mut desk = desk();
+fn the_default_class_has_the_name_of_the_service() {
+    let mut registry = registry();
     let nameless = Announcement { class: SmolStr::default(), ..announcement() };
-    assert_eq!(desk.announce(&instance(""), nameless, at(0), &shop()), Err(Fault::Class));
+    assert_eq!(registry.announce(&instance(""), nameless, at(0), &shop()), Err(Fault::Class));
 }
 
 #[rstest]
 #[case::slow_for_a_while(1, view::Phase::Warming)]
 #[case::at_full_speed(0, view::Phase::Serving)]
-fn a_slow_start_is_told(#[case] warmup_ms: u64, #[case] phase: view::Phase) {
-    let mut desk = desk();
+fn an_upstream_with_a_slow_start_is_warming(#[case] warmup_ms: u64, #[case] phase: view::Phase) {
+    let mut registry = registry();
     let announced = Announcement { warmup_ms, ..announcement() };
-    desk.announce(&instance(""), announced, at(0), &shop()).expect("valid");
-    assert_eq!(desk.local(&shop()).expect("announced").upstream.phase, phase);
+    registry.announce(&instance(""), announced, at(0), &shop()).expect("valid");
+    assert_eq!(registry.local(&shop()).expect("announced").upstream.phase, phase);
 }
 
-/// An announcement of the life that began at `born`.
-fn of_life(born: u64, sequence: u64, phase: Phase) -> Announcement {
+/// An announcement of the incarnation that started at `born`.
+fn of_incarnation(born: u64, sequence: u64, phase: Phase) -> Announcement {
     Announcement { born: Some(born), sequence, phase, ..announcement() }
 }
 
-fn life(desk: &Registry) -> Option<(u32, view::Phase)> {
-    desk.local(&shop()).map(|local| (local.upstream.incarnation, local.upstream.phase))
+fn incarnation(registry: &Registry) -> Option<(u32, view::Phase)> {
+    registry.local(&shop()).map(|local| (local.upstream.incarnation, local.upstream.phase))
 }
 
 #[test]
-fn an_instance_that_starts_again_counts_anew_and_serves() {
-    let (mut desk, one) = (desk(), instance("one"));
-    desk.announce(&one, of_life(1000, 40, Phase::Draining), at(0), &shop()).expect("valid");
-    let (before, _) = life(&desk).expect("announced");
-    desk.announce(&one, of_life(2000, 1, Phase::Serving), at(1), &shop()).expect("a new start");
-    assert_eq!(life(&desk), Some((before + 1, view::Phase::Serving)));
-    desk.announce(&one, of_life(2000, 2, Phase::Serving), at(2), &shop()).expect("renewed");
-    assert_eq!(life(&desk), Some((before + 1, view::Phase::Serving)), "a renewal is no start");
+fn a_restarted_instance_has_a_new_incarnation_and_sequence() {
+    let (mut registry, one) = (registry(), instance("one"));
+    registry
+        .announce(&one, of_incarnation(1000, 40, Phase::Draining), at(0), &shop())
+        .expect("valid");
+    let (before, _) = incarnation(&registry).expect("announced");
+    registry
+        .announce(&one, of_incarnation(2000, 1, Phase::Serving), at(1), &shop())
+        .expect("a restart");
+    assert_eq!(incarnation(&registry), Some((before + 1, view::Phase::Serving)));
+    registry
+        .announce(&one, of_incarnation(2000, 2, Phase::Serving), at(2), &shop())
+        .expect("renewed");
+    assert_eq!(
+        incarnation(&registry),
+        Some((before + 1, view::Phase::Serving)),
+        "a renewal is not a restart"
+    );
 }
 
 #[rstest]
-#[case::renewal(of_life(1000, 41, Phase::Draining))]
+#[case::renewal(of_incarnation(1000, 41, Phase::Draining))]
 #[case::without_its_start(Announcement { sequence: 50, ..announcement() })]
-fn what_an_older_life_said_comes_too_late(#[case] late: Announcement) {
-    let (mut desk, one) = (desk(), instance("one"));
-    desk.announce(&one, of_life(1000, 40, Phase::Serving), at(0), &shop()).expect("valid");
-    desk.announce(&one, of_life(2000, 1, Phase::Serving), at(1), &shop()).expect("a new start");
-    let held = life(&desk);
-    assert_eq!(desk.announce(&one, late, at(2), &shop()), Err(Fault::Stale));
-    desk.withdraw(&one, Some(1000));
-    assert_eq!(life(&desk), held);
+fn a_delayed_announcement_of_an_older_incarnation_is_ignored(#[case] late: Announcement) {
+    let (mut registry, one) = (registry(), instance("one"));
+    registry
+        .announce(&one, of_incarnation(1000, 40, Phase::Serving), at(0), &shop())
+        .expect("valid");
+    registry
+        .announce(&one, of_incarnation(2000, 1, Phase::Serving), at(1), &shop())
+        .expect("a restart");
+    let current = incarnation(&registry);
+    assert_eq!(registry.announce(&one, late, at(2), &shop()), Err(Fault::Stale));
+    registry.withdraw(&one, Some(1000));
+    assert_eq!(incarnation(&registry), current);
 }
 
 #[test]
-fn a_withdrawal_binds_its_life_alone() {
-    let (mut desk, one) = (desk(), instance("one"));
-    desk.announce(&one, of_life(1000, 1, Phase::Serving), at(0), &shop()).expect("valid");
-    desk.withdraw(&one, None);
-    let again = desk.announce(&one, of_life(1000, 2, Phase::Serving), at(1), &shop());
+fn a_withdrawal_applies_only_to_its_incarnation() {
+    let (mut registry, one) = (registry(), instance("one"));
+    registry
+        .announce(&one, of_incarnation(1000, 1, Phase::Serving), at(0), &shop())
+        .expect("valid");
+    registry.withdraw(&one, None);
+    let again = registry.announce(&one, of_incarnation(1000, 2, Phase::Serving), at(1), &shop());
     assert_eq!(again, Err(Fault::Stale));
-    desk.announce(&one, of_life(2000, 1, Phase::Serving), at(2), &shop()).expect("a new start");
-    assert!(life(&desk).is_some());
+    registry
+        .announce(&one, of_incarnation(2000, 1, Phase::Serving), at(2), &shop())
+        .expect("a restart");
+    assert!(incarnation(&registry).is_some());
 }
 
 #[test]
-fn a_withdrawal_of_a_life_that_nobody_knows_binds_every_life() {
-    let (mut desk, one) = (desk(), instance("one"));
-    desk.withdraw(&one, None);
-    let late = desk.announce(&one, of_life(1000, 2, Phase::Serving), at(1), &shop());
+fn a_withdrawal_without_start_applies_to_all_incarnations_if_none_is_known() {
+    let (mut registry, one) = (registry(), instance("one"));
+    registry.withdraw(&one, None);
+    let late = registry.announce(&one, of_incarnation(1000, 2, Phase::Serving), at(1), &shop());
     assert_eq!(late, Err(Fault::Stale));
-    assert_eq!(life(&desk), None);
+    assert_eq!(incarnation(&registry), None);
 }
 
 #[test]
-fn a_life_goes_on_over_a_lease_that_lapsed() {
-    let (mut desk, one) = (desk(), instance("one"));
-    desk.announce(&one, of_life(1000, 1, Phase::Serving), at(0), &shop()).expect("valid");
-    let held = life(&desk);
-    desk.expire(at(6000));
-    desk.announce(&one, of_life(1000, 2, Phase::Serving), at(7000), &shop()).expect("valid");
-    assert_eq!(life(&desk), held);
+fn an_incarnation_continues_after_its_lease_expired() {
+    let (mut registry, one) = (registry(), instance("one"));
+    registry
+        .announce(&one, of_incarnation(1000, 1, Phase::Serving), at(0), &shop())
+        .expect("valid");
+    let current = incarnation(&registry);
+    registry.expire(at(6000));
+    registry
+        .announce(&one, of_incarnation(1000, 2, Phase::Serving), at(7000), &shop())
+        .expect("valid");
+    assert_eq!(incarnation(&registry), current);
 }
 
 #[rstest]
 #[case::service(Announcement { service: "toys".into(), ..announcement() })]
 #[case::class(Announcement { class: "toys".into(), ..announcement() })]
-fn what_names_no_upstream_to_use_leaves_the_one_that_holds(#[case] foreign: Announcement) {
-    let mut desk = desk();
-    desk.announce(&instance("one"), announcement(), at(0), &shop()).expect("valid");
+fn an_announcement_of_an_unknown_service_or_class_keeps_a_usable_one(
+    #[case] foreign: Announcement,
+) {
+    let mut registry = registry();
+    registry.announce(&instance("one"), announcement(), at(0), &shop()).expect("valid");
     for name in ["one", "other"] {
-        let said = desk.announce(&instance(name), foreign.clone(), at(1), &shop());
-        assert_eq!(said, Err(Fault::Foreign));
+        let result = registry.announce(&instance(name), foreign.clone(), at(1), &shop());
+        assert_eq!(result, Err(Fault::Foreign));
     }
-    assert_eq!(desk.local(&shop()).expect("announced").instance, instance("one"));
+    assert_eq!(registry.local(&shop()).expect("announced").instance, instance("one"));
 }
 
-/// What an upstream sends.
+/// The JSON that an upstream sends.
 fn sent() -> serde_json::Value {
     serde_json::json!({
         "service": "shop", "class": "shop-host", "address": "10.1.2.3:8080", "zone": "a",
@@ -254,7 +281,7 @@
 }
 
 #[test]
-fn fields_from_a_newer_sender_are_ignored() {
+fn unknown_fields_are_ignored() {
     let mut newer = sent();
     newer["colour"] = serde_json::json!({ "any": ["thing"] });
     let read: Announcement = serde_json::from_value(newer).expect("readable");
@@ -262,7 +289,7 @@
 }
 
 #[test]
-fn the_spellings_with_hyphens_say_the_same() {
+fn spellings_with_hyphens_are_equivalent() {
     let mut other = sent();
     let fields = other.as_object_mut().expect("an object");
     for (plain, hyphened) in
@@ -296,30 +323,30 @@
 
 proptest! {
     #[test]
-    fn no_bytes_take_the_known_upstream_away(
+    fn arbitrary_bytes_are_no_announcement(
         bytes in prop::collection::vec(any::<u8>(), 0..200),
     ) {
         prop_assert!(serde_json::from_slice::<Announcement>(&bytes).is_err());
     }
 
     #[test]
-    fn a_field_of_another_type_names_no_upstream_or_a_sound_one(
+    fn an_arbitrary_field_value_keeps_a_usable_upstream(
         field in prop::sample::select(vec![
             "service", "address", "slots", "connections", "phase", "warmup_ms", "sequence", "born",
         ]),
         value in value(),
     ) {
-        let mut desk = desk();
+        let mut registry = registry();
         let one = instance("one");
-        let held = Announcement { sequence: 3, born: Some(1), ..announcement() };
-        desk.announce(&one, held, at(0), &shop()).expect("valid");
+        let current = Announcement { sequence: 3, born: Some(1), ..announcement() };
+        registry.announce(&one, current, at(0), &shop()).expect("valid");
         let mut changed = sent();
         changed[field] = value;
         if let Ok(read) = serde_json::from_value::<Announcement>(changed) {
-            // A fault is typed; whatever it is, an upstream of the configuration stays.
-            let _ = desk.announce(&one, read, at(1), &shop());
+            // Accepted or refused, an upstream of the configuration stays in force.
+            let _ = registry.announce(&one, read, at(1), &shop());
         }
-        let local = desk.local(&shop()).expect("an upstream");
+        let local = registry.local(&shop()).expect("an upstream");
         prop_assert_eq!(local.upstream.service, "shop");
         prop_assert!(local.upstream.slots > 0 && local.upstream.connections > 0);
         prop_assert_eq!(local.address.ip(), HOST);
--- a/src/admin/tests/metrics.rs
+++ b/src/admin/tests/metrics.rs
@@ -5,10 +5,10 @@
 use crate::admin::metrics;
 use crate::ring;
 
-/// A duty that waits for the last counts of another one waits for the end of its ring: held open
-/// by the metrics, each planned stop took a second and a half longer.
+/// Guards against metrics that keep the sender of a ring alive. The admin duty waits for the end of
+/// the ring from the call path, so each planned stop would take 1.5 seconds longer.
 #[test]
-fn metrics_keep_no_ring_open() {
+fn metrics_do_not_keep_a_ring_open() {
     let metrics = metrics::Metrics::default();
     let (sender, mut receiver) = ring::bounded::<u8>(1);
     metrics.ring("test", &sender);
--- a/src/admin/tests/report.rs
+++ b/src/admin/tests/report.rs
@@ -33,9 +33,9 @@
 }
 
 #[test]
-fn versions_are_counted_by_zone_and_nodes_behind_named() {
+fn versions_are_counted_by_zone_and_nodes_behind_are_listed() {
     let answers = [answer(1, "a", 7, 1500), answer(2, "a", 5, 900), answer(3, "b", 7, 1400)];
-    let mesh = mesh_status::mesh(&answers, Vec::new(), 2000);
+    let mesh = mesh_status::combine(&answers, Vec::new(), 2000);
     assert!(mesh.coverage.whole);
     assert_eq!((mesh.newest, mesh.newest_unix_ms, mesh.behind), (7, Some(1400), 1));
     assert_eq!(mesh.behind_hosts[0].host, "10.0.0.2:7100");
@@ -45,54 +45,54 @@
 }
 
 #[test]
-fn a_partial_report_says_so() {
+fn a_partial_report_lists_the_missing_hosts() {
     let answers = [answer(1, "a", 7, 1500)];
-    let mesh = mesh_status::mesh(&answers, vec!["10.0.0.2:7100".into()], 2000);
+    let mesh = mesh_status::combine(&answers, vec!["10.0.0.2:7100".into()], 2000);
     assert_eq!((mesh.coverage.heard, mesh.coverage.hosts, mesh.coverage.whole), (1, 2, false));
     assert_eq!(mesh.coverage.missing, ["10.0.0.2:7100"]);
 }
 
 #[test]
-fn the_longest_outage_of_the_log_is_told() {
+fn the_longest_outage_of_the_log_is_reported() {
     let mut answers = [answer(1, "a", 7, 0), answer(2, "a", 7, 0), answer(3, "a", 7, 0)];
     answers[0].log = reachability::Reachability::Fails { since_unix_ms: 800 };
     answers[1].log = reachability::Reachability::Fails { since_unix_ms: 700 };
-    let log = mesh_status::mesh(&answers, Vec::new(), 2000).log;
+    let log = mesh_status::combine(&answers, Vec::new(), 2000).log;
     assert_eq!((log.answers, log.fails, log.unasked), (0, 2, 1));
     assert_eq!(log.fails_since_unix_ms, Some(700));
 }
 
 #[tokio::test(start_paused = true)]
-async fn hosts_that_fail_or_hang_are_missing_and_bounded() {
+async fn failing_and_hanging_hosts_are_missing_and_concurrency_is_limited() {
     let hosts: Vec<_> = (0..100).map(host).collect();
     let limits = scatter::Limits { concurrency: 10, timeout: time::Duration::from_secs(5) };
     let running = std::cell::Cell::new(0usize);
-    let most = std::cell::Cell::new(0usize);
+    let peak = std::cell::Cell::new(0usize);
     let gathered = scatter::gather(&hosts, limits, |host| {
-        let (running, most) = (&running, &most);
+        let (running, peak) = (&running, &peak);
         async move {
             running.set(running.get() + 1);
-            most.set(most.get().max(running.get()));
+            peak.set(peak.get().max(running.get()));
             tokio::time::sleep(time::Duration::from_millis(10)).await;
-            let last = host.member_addr().to_string();
-            if last.starts_with("10.0.0.7:") {
+            let address = host.member_addr().to_string();
+            if address.starts_with("10.0.0.7:") {
                 tokio::time::sleep(time::Duration::from_secs(60)).await;
             }
             running.set(running.get() - 1);
-            if last.starts_with("10.0.0.8:") { Err(()) } else { Ok(host) }
+            if address.starts_with("10.0.0.8:") { Err(()) } else { Ok(host) }
         }
     })
     .await;
     assert_eq!(gathered.missing, [host(7), host(8)]);
     assert_eq!(gathered.answers.len(), 98);
-    assert_eq!(most.get(), 10);
+    assert_eq!(peak.get(), 10);
 }
 
 #[test]
-fn reach_keeps_the_first_moment() {
-    let mut reach = reachability::Reachability::Unasked;
+fn reachability_keeps_the_start_of_an_outage() {
+    let mut reachability = reachability::Reachability::Unasked;
     for (success, at) in [(true, 1), (true, 2), (false, 3), (false, 4)] {
-        reach = reach.after(success, at);
+        reachability = reachability.after(success, at);
     }
-    assert_eq!(reach, reachability::Reachability::Fails { since_unix_ms: 3 });
+    assert_eq!(reachability, reachability::Reachability::Fails { since_unix_ms: 3 });
 }
--- a/src/admin/tests/served.rs
+++ b/src/admin/tests/served.rs
@@ -1,4 +1,4 @@
-//! Tests of the port itself, on loopback.
+//! Tests of the operators' port over HTTP, on loopback.
 
 use std::net;
 use std::sync::Arc;
@@ -22,9 +22,9 @@
 use crate::version;
 use crate::view;
 
-const LIMIT: time::Duration = time::Duration::from_secs(10);
+const TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// The other ends of what joins the duty.
+/// The other ends of the channels of the duty.
 struct Ends {
     host: host::HostId,
     applied: watch::Sender<Arc<mesh::Applied>>,
@@ -35,7 +35,7 @@
     _reach: watch::Sender<reachability::Reachability>,
 }
 
-/// An address that no other test of this process or of another checkout uses.
+/// An address that no other test of this process or of a concurrent one uses.
 fn address(n: u8) -> net::SocketAddr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     net::SocketAddr::from(([127, 160 + (high & 15), low, n], 7100))
@@ -72,18 +72,17 @@
 
 impl Ends {
     fn apply(&self) {
-        let stamp = version::VersionId {
+        let version_id = version::VersionId {
             version: version::Version::new(3),
             digest: version::Digest::of(b"shop"),
         };
-        self.applied
-            .send_replace(Arc::new(mesh::Applied { version_id: stamp, mesh: Arc::new(shop()) }));
+        self.applied.send_replace(Arc::new(mesh::Applied { version_id, mesh: Arc::new(shop()) }));
     }
 
     async fn get(&self, path: &str) -> (u16, String) {
         let to = self.host.admin_addr();
         for _ in 0..1000 {
-            match client::get(to, path, LIMIT).await {
+            match client::get(to, path, TIMEOUT).await {
                 Ok(answer) => {
                     let body = String::from_utf8_lossy(answer.body()).into_owned();
                     return (answer.status().as_u16(), body);
@@ -94,7 +93,7 @@
                 Err(error) => panic!("{error}"),
             }
         }
-        panic!("the port does not open");
+        panic!("the operators' port does not open");
     }
 
     async fn put(&self, class: &str) -> u16 {
@@ -103,18 +102,18 @@
             "slots": 9, "connections": 100, "phase": "serving",
         });
         let to = self.host.admin_addr();
-        let put = client::json(to, http::Method::PUT, "/upstream", &body, LIMIT).await;
+        let put = client::json(to, http::Method::PUT, "/upstream", &body, TIMEOUT).await;
         put.expect("answered").status().as_u16()
     }
 }
 
-async fn locally(test: impl std::future::Future<Output = ()>) {
+async fn in_local_set(test: impl std::future::Future<Output = ()>) {
     task::LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test]
 async fn readiness_follows_configuration_and_stage() {
-    locally(async {
+    in_local_set(async {
         let ends = start(1);
         assert_eq!(ends.get("/live").await.0, 204);
         assert_eq!(ends.get("/ready").await.0, 503);
@@ -129,22 +128,22 @@
 
 #[tokio::test]
 async fn an_upstream_announces_and_withdraws() {
-    locally(async {
+    in_local_set(async {
         let mut ends = start(2);
         assert_eq!(ends.get("/live").await.0, 204);
         assert_eq!(ends.put("shop-host").await, 202);
         ends.apply();
-        let kept = tokio::time::timeout(LIMIT, ends.local.wait_for(Option::is_some));
-        let kept = kept.await.is_ok();
-        assert!(kept, "a pending announcement holds with the configuration");
+        let applied = tokio::time::timeout(TIMEOUT, ends.local.wait_for(Option::is_some));
+        let applied = applied.await.is_ok();
+        assert!(applied, "a pending announcement takes effect with the configuration");
         assert_eq!(ends.put("toys").await, 202);
         assert_eq!(ends.put("shop-host").await, 204);
         let to = ends.host.admin_addr();
         let null = serde_json::Value::Null;
-        let gone = client::json(to, http::Method::DELETE, "/upstream", &null, LIMIT).await;
+        let gone = client::json(to, http::Method::DELETE, "/upstream", &null, TIMEOUT).await;
         assert_eq!(gone.expect("answered").status(), 204);
         assert!(ends.local.borrow().is_none());
-        let bad = client::json(to, http::Method::PUT, "/upstream", &null, LIMIT).await;
+        let bad = client::json(to, http::Method::PUT, "/upstream", &null, TIMEOUT).await;
         assert_eq!(bad.expect("answered").status(), 400);
         assert_eq!(ends.get("/nowhere").await.0, 404);
         assert_eq!(ends.get("/upstream").await.0, 405);
@@ -154,7 +153,7 @@
 
 #[tokio::test]
 async fn metrics_show_the_calls() {
-    locally(async {
+    in_local_set(async {
         let ends = start(3);
         let label = usage::Label {
             organisation: "guests".into(),
@@ -183,14 +182,14 @@
 }
 
 #[tokio::test]
-async fn the_mesh_is_asked_and_a_silent_host_named() {
-    locally(async {
+async fn the_mesh_status_lists_a_host_that_does_not_answer() {
+    in_local_set(async {
         let (one, two) = (start(4), start(5));
         let absent = host::HostId::new(address(6));
-        let place = Arc::new(view::Locality { region: "region".into(), zone: "zone".into() });
+        let locality = Arc::new(view::Locality { region: "region".into(), zone: "zone".into() });
         let known = [one.host, two.host, absent].map(|id| view::Host {
             id,
-            locality: Arc::clone(&place),
+            locality: Arc::clone(&locality),
             incarnation: 1,
             health: view::Health::Alive,
             upstream: None,
@@ -203,7 +202,7 @@
         assert_eq!((code, own.version, own.members.alive), (200, 3, 3));
         let to = one.host.admin_addr();
         let mesh: mesh_status::MeshStatus =
-            query::json(to, "/status?mesh=1", LIMIT).await.expect("a report");
+            query::json(to, "/status?mesh=1", TIMEOUT).await.expect("a report");
         assert_eq!((mesh.coverage.heard, mesh.coverage.hosts, mesh.coverage.whole), (2, 3, false));
         assert_eq!(mesh.coverage.missing, [absent.to_string()]);
         assert_eq!((mesh.newest, mesh.behind, mesh.unready), (3, 1, 1));
