--- a/src/cli/ask.rs
+++ b/src/cli/ask.rs
@@ -1,4 +1,4 @@
-//! What the commands that ask a node or the log share.
+//! Shared parts of the commands that query a node or the log.
 
 use std::future;
 use std::io::{self, Write as _};
@@ -10,16 +10,16 @@
 use crate::admin::{mesh_status, query};
 use crate::cli::exit;
 
-/// Longest a node may take for a report on the whole mesh.
+/// Timeout for a report on the whole mesh.
 const REPORT_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
 const DAY_S: u64 = 86_400;
 
-/// Runs `work` on a runtime of its own.
+/// Runs `work` on a new runtime.
 ///
 /// # Errors
 ///
-/// The work's, or the operating system gives no runtime.
+/// Fails when `work` fails or the runtime can't be created.
 pub fn run<T>(
     work: impl future::Future<Output = Result<T, exit::Failure>>,
 ) -> Result<T, exit::Failure> {
@@ -28,11 +28,11 @@
     runtime.block_on(work)
 }
 
-/// Asks the operators' port `node` for the report at `path`.
+/// Requests the report at `path` from the operators' port `node`.
 ///
 /// # Errors
 ///
-/// The node can't be reached or refuses.
+/// Fails when the node can't be reached or refuses the request.
 pub fn node<T: serde::de::DeserializeOwned>(
     node: net::SocketAddr,
     path: &str,
@@ -45,11 +45,11 @@
     })
 }
 
-/// Prints `text`, or `value` as JSON.
+/// Prints `value` as JSON if `json` is set, otherwise as formatted by `text`.
 ///
 /// # Errors
 ///
-/// Standard output is closed.
+/// Fails when standard output is closed.
 pub fn print<T: Serialize>(
     json: bool,
     value: &T,
@@ -65,29 +65,30 @@
     written.map_err(|error| exit::Failure::Input(error.into()))
 }
 
-/// How much of the mesh a report covers, as a line.
+/// Formats the coverage of a report as one line.
 pub fn coverage(coverage: &mesh_status::Coverage) -> String {
-    let heard = format!("heard from {} of {} nodes", coverage.heard, coverage.hosts);
+    let answered = format!("heard from {} of {} nodes", coverage.heard, coverage.hosts);
     if coverage.whole {
-        return format!("{heard}\n");
+        return format!("{answered}\n");
     }
     let missing = coverage.missing.iter().take(5).map(|h| h.as_str()).collect::<Vec<_>>();
     let more = if coverage.hosts - coverage.heard > 5 { ", ..." } else { "" };
-    format!("PARTIAL: {heard}; no answer from {}{more}\n", missing.join(", "))
+    format!("PARTIAL: {answered}; no answer from {}{more}\n", missing.join(", "))
 }
 
-/// A moment as text, in UTC, to the second.
+/// Formats a time in UTC, with a precision of one second.
 pub fn moment(unix_ms: u64) -> String {
     let seconds = unix_ms / 1000;
     let (year, month, day) = civil(seconds / DAY_S);
-    let rest = seconds % DAY_S;
-    let (hour, minute, second) = (rest / 3600, rest / 60 % 60, rest % 60);
+    let of_day = seconds % DAY_S;
+    let (hour, minute, second) = (of_day / 3600, of_day / 60 % 60, of_day % 60);
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}Z")
 }
 
-/// Year, month and day of the day that is `days` after the Unix epoch.
+/// Returns the year, month and day of the month of the day that is `days` after the Unix epoch.
 ///
-/// Counts from 1 March of year 0, so that a leap day ends its year, in cycles of 400 years.
+/// Years are counted from 1 March of year 0, so that a leap day is the last day of its year, in
+/// cycles of 400 years.
 fn civil(days: u64) -> (u64, u64, u64) {
     let days = days + 719_468;
     let (cycle, day) = (days / 146_097, days % 146_097);
--- a/src/cli/ask/tests.rs
+++ b/src/cli/ask/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what the reports share.
+//! Tests of the parts shared by the reports.
 
 use rstest::rstest;
 
@@ -11,14 +11,14 @@
 #[case(951_868_800_000, "2000-03-01T00:00:00Z")]
 #[case(1_735_689_599_000, "2024-12-31T23:59:59Z")]
 #[case(4_107_542_400_000, "2100-03-01T00:00:00Z")]
-fn moments_are_utc(#[case] unix_ms: u64, #[case] text: &str) {
+fn times_are_in_utc(#[case] unix_ms: u64, #[case] text: &str) {
     assert_eq!(moment(unix_ms), text);
 }
 
 #[test]
-fn a_partial_report_names_who_is_missing() {
-    let whole = mesh_status::Coverage::new(3, Vec::new());
-    assert_eq!(coverage(&whole), "heard from 3 of 3 nodes\n");
+fn a_partial_report_lists_the_missing_hosts() {
+    let complete = mesh_status::Coverage::new(3, Vec::new());
+    assert_eq!(coverage(&complete), "heard from 3 of 3 nodes\n");
     let partial = mesh_status::Coverage::new(3, vec!["10.0.0.1:7100".into()]);
     let text = coverage(&partial);
     assert_eq!(text, "PARTIAL: heard from 3 of 4 nodes; no answer from 10.0.0.1:7100\n");
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -23,7 +23,7 @@
     pub file: path::PathBuf,
 }
 
-/// Why a file was not accepted.
+/// Why a file was rejected.
 #[derive(Debug, thiserror::Error)]
 enum Rejected {
     /// The file can't be read.
@@ -31,7 +31,7 @@
     Read {
         /// The file.
         file: path::PathBuf,
-        /// Why.
+        /// The operating system's error.
         source: io::Error,
     },
     /// The file has faults, which are listed here.
@@ -39,7 +39,7 @@
     Faults {
         /// The file.
         file: path::PathBuf,
-        /// Every one of them.
+        /// All faults of the file.
         faults: fault::Faults,
     },
     /// The file has faults, which were printed as JSON.
@@ -47,12 +47,12 @@
     Printed {
         /// The file.
         file: path::PathBuf,
-        /// How many there are.
+        /// Number of faults, as text.
         count: String,
     },
 }
 
-/// What `--json` prints.
+/// The output of `--json`.
 #[derive(Serialize)]
 struct Verdict<'a> {
     accepted: bool,
--- a/src/cli/exit.rs
+++ b/src/cli/exit.rs
@@ -1,26 +1,26 @@
-//! Exit codes and how failures are printed.
+//! Exit codes and the output of failures.
 
 use std::process;
 
-/// Usage errors, as bpaf reports them.
+/// Exit code of a usage error.
 const USAGE: u8 = 2;
 
-/// Why a command ended without doing its work. Each variant has a stable exit code.
+/// Why a command failed. Each variant has a stable exit code.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
-    /// The input is bad: a file can't be read or fails its checks.
+    /// The input is invalid: a file can't be read or fails its checks.
     #[error("{0:#}")]
     Input(eyre::Report),
-    /// Somebody else was first, or the mesh refused.
+    /// The request was in conflict with another one, or the mesh refused it.
     #[error("{0:#}")]
     Refused(eyre::Report),
-    /// The platform or the node asked can't be reached.
+    /// The platform or the node can't be reached.
     #[error("{0:#}")]
     Unreachable(eyre::Report),
 }
 
 impl Failure {
-    /// The exit code: 1 bad input, 3 conflict or refused, 4 unreachable.
+    /// Returns the exit code: 1 for invalid input, 3 for a conflict or refusal, 4 for unreachable.
     pub const fn code(&self) -> u8 {
         match self {
             Failure::Input(_) => 1,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Reads the arguments of this process by `parser`, gives them to `run` and says how it ended.
+/// Parses the arguments of this process, calls `run` with the result and returns the exit code.
 pub fn main<T>(
     parser: bpaf::OptionParser<T>,
     run: impl FnOnce(T) -> Result<(), Failure>,
@@ -41,15 +41,14 @@
     }
 }
 
-/// Prints the result of a usage error or of `--help`, and gives its exit code.
+/// Prints a usage error, or the output of `--help` or `--version`, and returns the exit code.
 fn usage(failure: bpaf::ParseFailure) -> process::ExitCode {
-    let wanted = matches!(failure, bpaf::ParseFailure::Stdout(..));
+    let is_help = matches!(failure, bpaf::ParseFailure::Stdout(..));
     failure.print_message(100);
-    if wanted { process::ExitCode::SUCCESS } else { process::ExitCode::from(USAGE) }
+    if is_help { process::ExitCode::SUCCESS } else { process::ExitCode::from(USAGE) }
 }
 
-/// Prints a failure once, without a backtrace, and gives the exit code of `result`.
-/// Prints the failure of a command, if it failed, and gives its exit code.
+/// Prints the failure of a command, if it failed, without a backtrace, and returns the exit code.
 pub fn report(result: Result<(), Failure>) -> process::ExitCode {
     match result {
         Ok(()) => process::ExitCode::SUCCESS,
--- a/src/cli/follow.rs
+++ b/src/cli/follow.rs
@@ -1,4 +1,5 @@
-//! Follows a version until every node runs it: a bar on a terminal, JSON lines elsewhere.
+//! Shows the progress of a version until every node runs it: as a progress bar on a terminal,
+//! otherwise as JSON lines.
 
 use std::io::{self, IsTerminal as _};
 use std::net;
@@ -12,39 +13,39 @@
 use crate::cli::{ask, exit};
 use crate::version;
 
-/// Time between two looks at the mesh.
+/// Interval between two requests for the status of the mesh.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
 /// Why following ended before every node ran the version.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// Time is up.
+    /// The allowed time is over.
     #[error("version {version} runs on {running} of {hosts} nodes after the allowed time")]
     Late {
         /// The version followed.
         version: version::Version,
         /// Nodes that run it or a later one.
         running: u32,
-        /// Nodes that are known.
+        /// Known nodes.
         hosts: u32,
     },
 }
 
-/// How far a version has come.
+/// Progress of a version: how many nodes run it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub struct Progress {
     /// The version followed.
     pub version: u64,
     /// Nodes that run it or a later one.
     pub running: u32,
-    /// Nodes that are known.
+    /// Known nodes.
     pub hosts: u32,
-    /// Nodes that answered; one that did not is not counted as running.
+    /// Nodes that answered; the others are not counted in `running`.
     pub heard: u32,
 }
 
 impl Progress {
-    /// How far `version` has come in `mesh`.
+    /// Reads the progress of `version` from `mesh`.
     pub fn new(version: version::Version, mesh: &mesh_status::MeshStatus) -> Self {
         let rows = mesh.running.iter().filter(|row| row.version >= version.number());
         Self {
@@ -61,21 +62,21 @@
     }
 }
 
-/// Asks `node` until all nodes run `version`, for `limit` at most.
+/// Polls `node` until all nodes run `version`, for at most `limit`.
 ///
 /// # Errors
 ///
-/// The node can't be reached, or time is up.
+/// Fails when the node can't be reached, or after `limit`.
 pub fn follow(
     node: net::SocketAddr,
     version: version::Version,
     limit: time::Duration,
 ) -> Result<(), exit::Failure> {
     let end = time::Instant::now() + limit;
-    let shown = ProgressDisplay::new();
+    let display = ProgressDisplay::new();
     loop {
         let progress = Progress::new(version, &ask::node(node, "/status?mesh=1")?);
-        shown.show(&progress);
+        display.show(&progress);
         if progress.done() {
             return Ok(());
         }
@@ -87,7 +88,7 @@
     }
 }
 
-/// Where progress is shown.
+/// Output of the progress: a bar on a terminal, `None` for JSON lines on standard output.
 struct ProgressDisplay(Option<ProgressBar>);
 
 impl ProgressDisplay {
--- a/src/cli/local.rs
+++ b/src/cli/local.rs
@@ -1,4 +1,4 @@
-//! `dandelionspool local` runs a whole small mesh in one process.
+//! `dandelionspool local` runs a small mesh in one process.
 
 use std::path;
 
@@ -15,7 +15,7 @@
 /// Arguments of `dandelionspool local`.
 #[derive(Bpaf, Clone, Debug)]
 pub struct Args {
-    /// Example file to run
+    /// Settings file of the mesh, such as one of the examples
     #[bpaf(positional("FILE"))]
     pub file: path::PathBuf,
 }
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 ///
-/// Files that can't be used, addresses that are taken, a node that failed.
+/// Fails when a file is invalid, an address is in use or a node fails.
 pub fn run(args: &Args) -> Result<(), exit::Failure> {
     let settings = configs::load::load::<configs::local::Local>(&args.file);
     let settings = settings.map_err(|e| exit::Failure::Input(e.into()))?;
@@ -53,7 +53,7 @@
     }
 }
 
-/// Says how to call the mesh, publish to it and watch it.
+/// Prints how to call the mesh, publish to it and watch it.
 fn explain(small: &small::Small, file: &path::Path) {
     let (log, version) = (small.log, small.version);
     println!("{} hosts start; version {version} is published", small.hosts.len());
--- a/src/cli/logging.rs
+++ b/src/cli/logging.rs
@@ -1,9 +1,9 @@
 //! Logs as JSON lines: those of a node on standard output, those of other commands on standard
 //! error.
 //!
-//! Each line is one object: `ts` (UTC, RFC 3339 with milliseconds), `level`, `target`, `msg`, and
-//! the record's key-values beside them. A key that has one of these four names gets an underscore
-//! at its end. `RUST_LOG` sets the levels; the default is `info`.
+//! Each line is one object with `ts` (UTC, RFC 3339 with milliseconds), `level`, `target`, `msg`,
+//! and the key-value pairs of the record. A key with one of these four names gets an underscore
+//! appended. `RUST_LOG` sets the levels; the default is `info`.
 
 use std::io::{self, Write};
 use std::panic;
@@ -20,17 +20,17 @@
 const TARGET: &str = "target";
 const MSG: &str = "msg";
 
-/// Starts the logger of a command, which writes to standard error; panics of any thread are logged
-/// too. A later call changes nothing.
+/// Starts the logger of a command, which writes to standard error and also logs panics of any
+/// thread. Further calls have no effect.
 pub fn init() {
     start(env_logger::Target::Stderr);
 }
 
-/// Starts the logger of a node, which writes to standard output and never waits for it.
+/// Starts the logger of a node, which writes to standard output without blocking the caller.
 ///
 /// # Errors
 ///
-/// The thread that writes can't be started.
+/// Fails when the writer thread can't be started.
 pub fn init_node() -> io::Result<sink::Sink> {
     let sink = sink::Sink::start(io::stdout())?;
     start(env_logger::Target::Pipe(Box::new(sink.clone())));
@@ -49,10 +49,10 @@
     }
 }
 
-/// The JSON object of `record`, made at `ts`.
+/// Returns the JSON object of `record`, created at `ts`.
 fn line(ts: &str, record: &log::Record<'_>) -> Value {
     let mut fields = Fields(serde_json::Map::new());
-    // A visitor that never fails makes this succeed.
+    // The visitor never returns an error.
     let _ = record.key_values().visit(&mut fields);
     let Fields(mut map) = fields;
     map.insert(TS.to_owned(), ts.into());
@@ -62,7 +62,7 @@
     Value::Object(map)
 }
 
-/// The key-values seen so far.
+/// Collects the key-value pairs of a record.
 struct Fields(serde_json::Map<String, Value>);
 
 impl<'kvs> kv::VisitSource<'kvs> for Fields {
@@ -76,10 +76,10 @@
     }
 }
 
-/// A value as the JSON type next to it; text for whatever is no number or truth value.
+/// Converts a value to JSON. Whatever is not a number or a Boolean becomes a string.
 fn json(value: &kv::Value<'_>) -> Value {
-    if let Some(truth) = value.to_bool() {
-        return truth.into();
+    if let Some(boolean) = value.to_bool() {
+        return boolean.into();
     }
     if let Some(number) = value.to_u64() {
         return number.into();
--- a/src/cli/logging/sink.rs
+++ b/src/cli/logging/sink.rs
@@ -1,7 +1,7 @@
-//! Lines on their way to standard output, written by a thread of their own.
+//! Asynchronous log output: lines are queued and written to standard output by a separate thread.
 //!
-//! A reader of the log that falls behind must not hold up calls: the ring is bounded, what does not
-//! fit is dropped, and how much was dropped is said as soon as there is room again.
+//! A slow reader of the log must not block calls. The queue is therefore bounded, lines that do not
+//! fit are dropped, and the number of dropped lines is logged as soon as there is room again.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -10,25 +10,27 @@
 use std::thread;
 use std::time;
 
-/// Lines that wait to be written: some seconds of a node that refuses much, about 2 MB.
+/// Maximum number of queued lines: some seconds of output of a node that refuses many calls, about
+/// 2 MB.
 const MAX_QUEUED_LINES: usize = 8192;
 
-/// Lines written at once.
-const BATCH: usize = 256;
+/// Maximum number of further lines in one write.
+const BATCH_LINES: usize = 256;
 
-/// Longest that a process which ends waits for its last lines.
+/// Maximum time that an ending process waits for its last lines to be written.
 const FLUSH_TIMEOUT: time::Duration = time::Duration::from_millis(300);
 
-/// Pause before a full ring is tried again.
+/// Delay before retrying when the queue is full.
 const RETRY_DELAY: time::Duration = time::Duration::from_millis(2);
 
-/// What goes through the ring.
+/// An entry of the queue.
 enum Item {
     Line(Vec<u8>),
+    /// Answered once all lines queued before it are written.
     Flush(mpsc::SyncSender<()>),
 }
 
-/// The near end of the ring, as a place to write whole lines to.
+/// The sending end of the queue. Each write must be a complete line.
 #[derive(Clone, Debug)]
 pub struct Sink {
     items: mpsc::SyncSender<Item>,
@@ -36,22 +38,22 @@
 }
 
 impl Sink {
-    /// A sink whose lines a new thread writes to `output`.
+    /// Creates a sink and the thread that writes its lines to `output`.
     ///
     /// # Errors
     ///
-    /// The thread can't be started.
+    /// Fails when the thread can't be started.
     pub fn start<W: Write + Send + 'static>(output: W) -> io::Result<Self> {
         let (items, queue) = mpsc::sync_channel(MAX_QUEUED_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
-        let counted = Arc::clone(&dropped);
+        let dropped_lines = Arc::clone(&dropped);
         thread::Builder::new().name("log".to_owned()).spawn(move || {
-            drain(&queue, output, &counted);
+            write_lines(&queue, output, &dropped_lines);
         })?;
         Ok(Self { items, dropped })
     }
 
-    /// Waits a short time until what was written before is out.
+    /// Waits for a short time until all lines queued before are written.
     pub fn flush_lines(&self) {
         let (done, wait) = mpsc::sync_channel(1);
         let end = time::Instant::now() + FLUSH_TIMEOUT;
@@ -63,7 +65,7 @@
             item = back;
             thread::sleep(RETRY_DELAY);
         }
-        // Without an answer in time the reader of the log does not read.
+        // A timeout means that the reader of the log is blocked, so nothing more can be done.
         let _ = wait.recv_timeout(end.saturating_duration_since(time::Instant::now()));
     }
 }
@@ -81,12 +83,12 @@
     }
 }
 
-/// Writes lines until every sink is gone or the output is.
-fn drain<W: Write>(queue: &mpsc::Receiver<Item>, mut output: W, dropped: &AtomicU64) {
+/// Writes lines until all sinks are dropped or the output is closed.
+fn write_lines<W: Write>(queue: &mpsc::Receiver<Item>, mut output: W, dropped: &AtomicU64) {
     while let Ok(first) = queue.recv() {
         let mut bytes = Vec::new();
         let mut waiting = Vec::new();
-        for item in std::iter::once(first).chain(queue.try_iter().take(BATCH)) {
+        for item in std::iter::once(first).chain(queue.try_iter().take(BATCH_LINES)) {
             match item {
                 Item::Line(line) => bytes.extend_from_slice(&line),
                 Item::Flush(done) => waiting.push(done),
@@ -98,11 +100,11 @@
             bytes.extend_from_slice(format!("{line}\n").as_bytes());
         }
         if output.write_all(&bytes).and_then(|()| output.flush()).is_err() {
-            // Nobody can be told: the output is what would tell.
+            // The failed output is the log itself, so the error can't be logged.
             return;
         }
         for done in waiting {
-            // Whoever waited may have given up.
+            // The waiting thread may have timed out.
             let _ = done.send(());
         }
     }
--- a/src/cli/logging/tests.rs
+++ b/src/cli/logging/tests.rs
@@ -25,7 +25,7 @@
 #[case::fraction("a", kv::Value::from(0.5f64), "a", json!(0.5))]
 #[case::truth("a", kv::Value::from(true), "a", json!(true))]
 #[case::reserved("msg", kv::Value::from(1u64), "msg_", json!(1))]
-fn a_pair_keeps_its_type(
+fn a_value_keeps_its_type(
     #[case] key: &str,
     #[case] value: kv::Value<'_>,
     #[case] field: &str,
@@ -35,12 +35,12 @@
     assert_eq!((&line[field], &line["msg"]), (&wanted, &json!("two\nlines")));
 }
 
-/// An output that nobody reads until it is told to go on.
-struct Stuck(std::sync::mpsc::Receiver<()>, std::sync::mpsc::Sender<Vec<u8>>);
+/// An output that blocks until the sender of the first channel is dropped.
+struct Blocked(std::sync::mpsc::Receiver<()>, std::sync::mpsc::Sender<Vec<u8>>);
 
-impl std::io::Write for Stuck {
+impl std::io::Write for Blocked {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        // The sender goes when the test is over.
+        // Returns an error once the test drops the sender.
         let _ = self.0.recv();
         let _ = self.1.send(bytes.to_vec());
         Ok(bytes.len())
@@ -52,13 +52,14 @@
 }
 
 #[test]
-fn a_reader_that_does_not_read_holds_nobody_up_and_hears_what_it_missed() {
-    let ((go, wait), (out, written)) = (std::sync::mpsc::channel(), std::sync::mpsc::channel());
-    let mut sink = logging::sink::Sink::start(Stuck(wait, out)).expect("a thread");
+fn a_blocked_output_does_not_block_writers_and_reports_dropped_lines() {
+    let ((unblock, wait), (out, written)) =
+        (std::sync::mpsc::channel(), std::sync::mpsc::channel());
+    let mut sink = logging::sink::Sink::start(Blocked(wait, out)).expect("a thread");
     for number in 0..10_000 {
         std::io::Write::write_all(&mut sink, format!("{number}\n").as_bytes()).expect("room");
     }
-    drop(go);
+    drop(unblock);
     sink.flush_lines();
     let text: Vec<u8> = written.try_iter().flatten().collect();
     let text = String::from_utf8(text).expect("text");
--- a/src/cli/losses.rs
+++ b/src/cli/losses.rs
@@ -1,4 +1,5 @@
-//! `dandelionspool losses` tells from the logs of many nodes which calls got no answer, when and why.
+//! `dandelionspool losses` counts the calls without an answer in the logs of several nodes, by time
+//! and reason.
 
 use std::collections;
 use std::fmt::{self, Write as _};
@@ -12,10 +13,10 @@
 #[cfg(test)]
 mod tests;
 
-/// Line of an attempt without an answer; the last one of a call says that none follows.
+/// Message of an attempt without an answer. `again` is false for the last attempt of a call.
 const ATTEMPT_MESSAGE: &str = "an attempt brought no answer";
 
-/// Length of `2026-01-01T00:00:00`: a time up to its second.
+/// Length of a time without fractions of a second, such as `2026-01-01T00:00:00`.
 const SECOND_LENGTH: usize = 19;
 
 /// Arguments of `dandelionspool losses`.
@@ -30,46 +31,46 @@
 ///
 /// # Errors
 ///
-/// A file can't be read.
+/// Fails when a file can't be read.
 pub fn run(args: &Args) -> Result<(), exit::Failure> {
     let mut losses = Losses::default();
     for file in &args.files {
-        losses.read(&trace::read_log(file)?);
+        losses.add_log(&trace::read_log(file)?);
     }
     print!("{losses}");
     Ok(())
 }
 
-/// What calls that were lost alike have in common.
+/// Common properties of lost calls that are counted together.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Loss {
-    /// Time up to the second, by the entry's clock.
+    /// Time with a precision of one second, by the clock of the entry node.
     second: String,
     route: String,
     service: String,
-    /// Whether a running call waited for it, which is then lost, too.
+    /// Whether a running call waited for this call and is therefore lost, too.
     inner: bool,
     /// `not-run` for a refusal, `unknown` for a failure.
     outcome: String,
     reason: String,
 }
 
-/// Calls without an answer, counted.
+/// Numbers of calls without an answer.
 #[derive(Debug, Default)]
 struct Losses {
     calls: collections::BTreeMap<Loss, u64>,
-    /// Lines that the nodes left out under load.
+    /// Lines that the nodes skipped under load.
     skipped: u64,
-    /// Lines that are no JSON.
-    broken: u64,
+    /// Lines that are not JSON.
+    malformed: u64,
 }
 
 impl Losses {
-    /// Takes in the log of one node.
-    fn read(&mut self, text: &str) {
+    /// Adds the losses in the log of one node.
+    fn add_log(&mut self, text: &str) {
         for line in text.lines().filter(|line| !line.is_empty()) {
             let Ok(line) = serde_json::from_str::<Value>(line) else {
-                self.broken += 1;
+                self.malformed += 1;
                 continue;
             };
             self.skipped += line["skipped"].as_u64().unwrap_or_default();
@@ -98,17 +99,20 @@
         writeln!(f, "second               calls  route -> service: outcome, reason")?;
         for (loss, calls) in &self.calls {
             let Loss { second, route, service, inner, outcome, reason } = loss;
-            let whose = if *inner { ", for a running call" } else { "" };
-            writeln!(f, "{second:19} {calls:6}  {route} -> {service}: {outcome}, {reason}{whose}")?;
+            let suffix = if *inner { ", for a running call" } else { "" };
+            writeln!(
+                f,
+                "{second:19} {calls:6}  {route} -> {service}: {outcome}, {reason}{suffix}"
+            )?;
         }
-        let mut left_out = String::new();
+        let mut incomplete = String::new();
         if self.skipped > 0 {
-            write!(left_out, "{} lines were left out by the nodes; ", self.skipped)?;
+            write!(incomplete, "{} lines were left out by the nodes; ", self.skipped)?;
         }
-        if self.broken > 0 {
-            write!(left_out, "{} lines are not JSON; ", self.broken)?;
+        if self.malformed > 0 {
+            write!(incomplete, "{} lines are not JSON; ", self.malformed)?;
         }
         let total: u64 = self.calls.values().sum();
-        writeln!(f, "{left_out}{total} calls without an answer")
+        writeln!(f, "{incomplete}{total} calls without an answer")
     }
 }
--- a/src/cli/losses/tests.rs
+++ b/src/cli/losses/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the table of calls without an answer.
+//! Tests of the table of lost calls.
 
 use super::Losses;
 
@@ -14,7 +14,7 @@
 #[test]
 fn calls_are_counted_by_second_route_and_reason() {
     let mut losses = Losses::default();
-    losses.read(LOG);
+    losses.add_log(LOG);
     let text = losses.to_string();
     let wanted = [
         "second               calls  route -> service: outcome, reason",
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn logs_without_losses_say_so() {
+fn logs_without_losses_have_a_total_of_zero() {
     let text = Losses::default().to_string();
     assert!(text.ends_with("\n0 calls without an answer\n"), "{text}");
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: one file for each command, typed failures and stable exit codes.
+//! The command line, with one file for each command, typed failures and stable exit codes.
 
 use std::process;
 
@@ -21,19 +21,19 @@
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options, version)]
 pub enum Command {
-    /// Check a configuration file and name every fault in it
+    /// Check a configuration file and list every fault in it
     #[bpaf(command)]
     Check(#[bpaf(external(check::args))] check::Args),
-    /// Run a whole small mesh in this process, on loopback
+    /// Run a small mesh in this process, on loopback addresses
     #[bpaf(command)]
     Local(#[bpaf(external(local::args))] local::Args),
-    /// Count from logs the calls without an answer, by second, route and reason
+    /// Count the calls without an answer in logs, by second, route and reason
     #[bpaf(command)]
     Losses(#[bpaf(external(losses::args))] losses::Args),
     /// Run the node beside an upstream
     #[bpaf(command)]
     Node(#[bpaf(external(node::args))] node::Args),
-    /// Publish a configuration file as a whole version
+    /// Publish a configuration file as a new version
     #[bpaf(command)]
     Publish(#[bpaf(external(publish::args))] publish::Args),
     /// Report on service levels or on usage
@@ -42,12 +42,12 @@
     /// Show what the mesh runs, as seen from one node
     #[bpaf(command)]
     Status(#[bpaf(external(status::args))] status::Args),
-    /// Show the path of one call from the logs of many nodes
+    /// Show the path of one call in the logs of several nodes
     #[bpaf(command)]
     Trace(#[bpaf(external(trace::args))] trace::Args),
 }
 
-/// Runs the command line of this process.
+/// Parses the arguments of this process and runs the command.
 pub fn main() -> process::ExitCode {
     exit::main(command(), run)
 }
--- a/src/cli/node.rs
+++ b/src/cli/node.rs
@@ -14,7 +14,7 @@
 use crate::node::ports;
 use crate::ring;
 
-/// Room for requests to stop.
+/// Capacity of the queue of stop requests: one for the drain, one to end at once.
 const STOP_QUEUE: usize = 2;
 
 /// Arguments of `dandelionspool node`.
@@ -30,23 +30,23 @@
 ///
 /// # Errors
 ///
-/// Settings that can't be used, a duty that failed.
+/// Fails when the settings are invalid or a duty fails.
 pub fn run(args: &Args) -> Result<(), exit::Failure> {
     run_with(&args.settings, ports::Builtin)
 }
 
-/// The same for the settings file `path` of a node with other `ports`.
+/// Like [`run`], with the settings file `path` and other `ports`.
 ///
 /// # Errors
 ///
-/// Settings that can't be used, a duty that failed.
+/// Fails when the settings are invalid or a duty fails.
 pub fn run_with<P: ports::Ports>(path: &path::Path, ports: P) -> Result<(), exit::Failure> {
     let settings = configs::load(path).map_err(|e| exit::Failure::Input(e.into()))?;
-    let lines = logging::init_node().map_err(|e| exit::Failure::Refused(e.into()))?;
+    let sink = logging::init_node().map_err(|e| exit::Failure::Refused(e.into()))?;
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| exit::Failure::Refused(e.into()))?;
     let result = runtime.block_on(serve(path, settings, ports));
-    lines.flush_lines();
+    sink.flush_lines();
     result
 }
 
@@ -65,7 +65,7 @@
     tokio::spawn(async move {
         loop {
             signals.next().await;
-            // A full ring has a request in it already.
+            // If the queue is full, it already contains a stop request.
             let _ = stop.offer(node::shell::Stop);
         }
     });
@@ -80,12 +80,13 @@
     result.map_err(|e| exit::Failure::Refused(e.into()))
 }
 
-/// Says what a changed settings file means. Every setting takes effect when a node starts.
+/// Checks the settings file and logs whether it has changed. Changes take effect only when a node
+/// starts.
 fn reload(path: &path::Path, running: &configs::Node) {
     match configs::load(path) {
-        Ok(settings) if settings == *running => log::info!("the settings are the same"),
-        Ok(_) => log::warn!("the settings have changed; they take effect at the next start"),
-        Err(error) => log::error!(error:% = error; "the settings file can't be used"),
+        Ok(settings) if settings == *running => log::info!("the settings are unchanged"),
+        Ok(_) => log::warn!("the settings have changed and take effect at the next start"),
+        Err(error) => log::error!(error:% = error; "the settings file is invalid and is ignored"),
     }
 }
 
@@ -96,7 +97,7 @@
 }
 
 impl Signals {
-    /// Takes the signals over from the operating system's defaults.
+    /// Installs handlers that replace the default actions of the signals.
     pub(super) fn new() -> std::io::Result<Self> {
         Ok(Self {
             interrupt: unix::signal(unix::SignalKind::interrupt())?,
@@ -104,7 +105,7 @@
         })
     }
 
-    /// Waits for the next one.
+    /// Waits for the next signal.
     pub(super) async fn next(&mut self) {
         tokio::select! {
             _ = self.interrupt.recv() => {}
--- a/src/cli/publish.rs
+++ b/src/cli/publish.rs
@@ -19,7 +19,7 @@
 use crate::mesh;
 use crate::version;
 
-/// Longest one request may take, in milliseconds.
+/// Timeout for one request.
 const REQUEST_TIMEOUT_MS: u64 = 2000;
 
 /// Arguments of `dandelionspool publish`.
@@ -28,20 +28,20 @@
     /// Address of the log service, such as 127.0.0.1:7000
     #[bpaf(argument("ADDRESS"))]
     pub log: net::SocketAddr,
-    /// Version the file was made from; 0 when there is none
+    /// Version that the file is based on; 0 if there is none
     #[bpaf(argument("VERSION"))]
     pub base: u64,
-    /// Name of this publish, 32 hexadecimal digits; made from base and file when left out, so that
-    /// the same command run again changes nothing
+    /// Id of this publish, 32 hexadecimal digits; by default derived from base and file, so that
+    /// repeating the command has no effect
     #[bpaf(argument("HEX"), optional)]
     pub publish_id: Option<id::PublishId>,
-    /// Milliseconds to keep trying while the log service fails
+    /// Milliseconds for which to retry while the log service fails
     #[bpaf(argument("MILLISECONDS"), fallback(10_000), display_fallback)]
     pub wait_ms: u64,
-    /// Operators' port of any one node; follow the version until every node runs it
+    /// Operators' port of any node; waits until every node runs the version
     #[bpaf(argument("ADDRESS"), optional)]
     pub follow: Option<net::SocketAddr>,
-    /// Milliseconds to follow the version
+    /// Milliseconds to wait until every node runs the version
     #[bpaf(argument("MILLISECONDS"), fallback(60_000), display_fallback)]
     pub follow_ms: u64,
     /// Print the verdict as JSON
@@ -51,35 +51,35 @@
     pub file: path::PathBuf,
 }
 
-/// What became of the file, as printed with `--json`.
+/// The result of publishing the file, as printed with `--json`.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "snake_case", tag = "verdict")]
 enum Verdict {
-    /// It is a version.
+    /// The file is accepted as a version.
     Accepted { version: u64, digest: String, publish_id: String, repeated: bool },
-    /// Another version is current.
+    /// The current version is not the base of the file.
     Conflict { base: u64, current: u64, publish_id: String },
-    /// It breaks the rules.
+    /// The file is not valid.
     Invalid { faults: mesh::fault::Faults },
-    /// The content of the log does not tell this build.
+    /// This build can't read the current version from the content of the log.
     Unknown { uncertain: bool, publish_id: String },
-    /// The log service did not tell in time.
+    /// The log service did not answer in time.
     Unreachable { uncertain: bool, publish_id: String },
 }
 
-/// Why the file is not published.
+/// Why the file was not published.
 #[derive(Debug, thiserror::Error)]
 enum Error {
     /// The file can't be read.
     #[error("can't read {0}")]
     Read(path::PathBuf, #[source] io::Error),
-    /// The file breaks the rules.
+    /// The file is not valid.
     #[error("{file} is not valid:\n{faults}")]
     Invalid { file: path::PathBuf, faults: mesh::fault::Faults },
-    /// Somebody published in between, or the base never was current.
+    /// Another file was published in the meantime, or the base never was the current version.
     #[error("conflict: the current version is {current}, and the file was made from {base}")]
     Conflict { base: u64, current: version::Version },
-    /// The nodes' rules differ from this build's.
+    /// The validation rules of the nodes differ from those of this build.
     #[error("the file was refused by the rules of its format when it was first published")]
     Refused,
 }
@@ -96,7 +96,7 @@
     conclude(args, id, answer)
 }
 
-/// The file's bytes, checked by the rules of this build.
+/// Reads the file and checks it by the rules of this build.
 fn read(args: &Args) -> Result<Bytes, exit::Failure> {
     let bytes = fs::read(&args.file)
         .map_err(|e| exit::Failure::Input(Error::Read(args.file.clone(), e).into()))?;
@@ -128,10 +128,10 @@
         Err(error) => return Err(submit_failure(args, error, publish_id)),
     };
     match answer.outcome {
-        outcomes::Outcome::Accepted(stamp) => {
-            accepted(args, stamp, answer.repeated, publish_id);
+        outcomes::Outcome::Accepted(version_id) => {
+            accepted(args, version_id, answer.repeated, publish_id);
             let limit = time::Duration::from_millis(args.follow_ms);
-            args.follow.map_or(Ok(()), |node| follow::follow(node, stamp.version, limit))
+            args.follow.map_or(Ok(()), |node| follow::follow(node, version_id.version, limit))
         }
         outcomes::Outcome::Conflict { current } => {
             let base = args.base;
@@ -163,9 +163,9 @@
     }
 }
 
-fn accepted(args: &Args, stamp: version::VersionId, repeated: bool, publish_id: String) {
-    let version = stamp.version.number();
-    let digest = stamp.digest.to_string();
+fn accepted(args: &Args, version_id: version::VersionId, repeated: bool, publish_id: String) {
+    let version = version_id.version.number();
+    let digest = version_id.digest.to_string();
     print(args, &Verdict::Accepted { version, digest, publish_id, repeated });
     if !args.json {
         let earlier = if repeated { " (published before)" } else { "" };
@@ -179,6 +179,6 @@
     }
     match serde_json::to_string(verdict) {
         Ok(line) => println!("{line}"),
-        Err(error) => log::error!(error:% = error; "the verdict can't be printed"),
+        Err(error) => log::error!(error:% = error; "cannot encode the verdict as JSON"),
     }
 }
--- a/src/cli/report.rs
+++ b/src/cli/report.rs
@@ -17,16 +17,16 @@
 
 const HOUR_MS: u64 = 3_600_000;
 
-/// Records read at once.
+/// Maximum number of records in one read.
 const BATCH_RECORDS: u32 = 256;
 
 /// Arguments of `dandelionspool report`.
 #[derive(Bpaf, Clone, Debug)]
 pub enum Args {
-    /// Burn rates and the budget left of each service-level objective, worst first
+    /// Burn rates and remaining budget of each service-level objective, worst first
     #[bpaf(command)]
     Burn(#[bpaf(external(burn_args))] BurnArgs),
-    /// What each organisation is charged, by kind and period
+    /// Charges of each organisation, by kind and period
     #[bpaf(command)]
     Usage(#[bpaf(external(usage_args))] UsageArgs),
 }
@@ -34,12 +34,12 @@
 /// Arguments of `dandelionspool report burn`.
 #[derive(Bpaf, Clone, Debug)]
 pub struct BurnArgs {
-    /// Operators' port of any one node, such as 127.0.0.1:7104
+    /// Operators' port of any node, such as 127.0.0.1:7104
     #[bpaf(argument("ADDRESS"))]
     pub node: net::SocketAddr,
     /// Print JSON
     pub json: bool,
-    /// Write a plot as SVG, too
+    /// Also write a plot to an SVG file
     #[bpaf(argument("FILE"), optional)]
     pub plot: Option<path::PathBuf>,
 }
@@ -57,14 +57,14 @@
     pub json: bool,
 }
 
-/// What is charged, as printed with `--json`.
+/// The charges, as printed with `--json`.
 #[derive(Clone, Debug, Serialize)]
 struct Usage {
-    /// Whether the stream is kept from its first record on.
+    /// Whether the log still retains the stream from its first record on.
     whole: bool,
-    /// Time of the oldest record kept, in milliseconds since the Unix epoch.
+    /// Time of the oldest retained record, in milliseconds since the Unix epoch.
     oldest_unix_ms: Option<u64>,
-    /// Totals that were there more than once and counted once.
+    /// Duplicate totals, which were not counted again.
     repeats: u64,
     /// Records that could not be read.
     unread: u64,
@@ -76,7 +76,7 @@
 ///
 /// # Errors
 ///
-/// The node or the log can't be reached, or the plot can't be written.
+/// Fails when the node or the log can't be reached, or the plot can't be written.
 pub fn run(args: &Args) -> Result<(), exit::Failure> {
     match args {
         Args::Burn(args) => burn(args),
@@ -133,7 +133,7 @@
     ask::print(args.json, &report, usage_text)
 }
 
-/// Reads the whole stream.
+/// Reads the stream from its first retained record to its end.
 async fn read(log: &logs::http::Client, mut sum: sum::Sum) -> Result<Usage, logs::http::Error> {
     let mut from = 0;
     let mut first = None;
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `dandelionspool status` shows what the mesh runs.
+//! `dandelionspool status` shows which versions the mesh runs.
 
 use std::net;
 
@@ -10,7 +10,7 @@
 /// Arguments of `dandelionspool status`.
 #[derive(Bpaf, Clone, Debug)]
 pub struct Args {
-    /// Operators' port of any one node, such as 127.0.0.1:7104
+    /// Operators' port of any node, such as 127.0.0.1:7104
     #[bpaf(argument("ADDRESS"))]
     pub node: net::SocketAddr,
     /// Print JSON
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 ///
-/// The node can't be reached or refuses.
+/// Fails when the node can't be reached or refuses the request.
 pub fn run(args: &Args) -> Result<(), exit::Failure> {
     let mesh: mesh_status::MeshStatus = ask::node(args.node, "/status?mesh=1")?;
     ask::print(args.json, &mesh, text)
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -1,8 +1,8 @@
-//! `dandelionspool trace` prints the path of one call from the logs of many nodes.
+//! `dandelionspool trace` prints the path of one call from the logs of several nodes.
 //!
-//! Hosts' clocks may be off by seconds, so lines are put in order by cause: those of one file stay in
-//! their order, and what the upstream's node says stands before the line of the entry that tells what
-//! came back from there.
+//! The clocks of hosts may differ by seconds, so lines are ordered by causality instead of time:
+//! those of one file keep their order, and a line of an owner node precedes the line of the entry
+//! node about the result of the same attempt.
 
 use std::collections;
 use std::fs;
@@ -16,13 +16,13 @@
 #[cfg(test)]
 mod tests;
 
-/// Fields that every line has, or that tell nothing of the call.
+/// Fields that are not shown because every line has them or they do not describe the call.
 const HIDDEN_FIELDS: [&str; 6] = ["id", "level", "msg", "sample", "skipped", "target"];
 
 /// Arguments of `dandelionspool trace`.
 #[derive(Bpaf, Clone, Debug)]
 pub struct Args {
-    /// Id of the call
+    /// ID of the call
     #[bpaf(positional("ID"))]
     pub id: String,
     /// Logs of nodes, one file for each
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 ///
-/// A file can't be read; no file knows the call.
+/// Fails when a file can't be read or no file contains the call.
 pub fn run(args: &Args) -> Result<(), exit::Failure> {
     let mut logs = Vec::new();
     for file in &args.files {
@@ -49,37 +49,37 @@
     Ok(())
 }
 
-/// The text of a node's log.
+/// Reads the log of a node.
 ///
 /// # Errors
 ///
-/// The file can't be read.
+/// Fails when the file can't be read.
 pub(super) fn read_log(file: &path::Path) -> Result<String, exit::Failure> {
     fs::read_to_string(file).map_err(|e| {
         exit::Failure::Input(eyre::Report::new(e).wrap_err(file.display().to_string()))
     })
 }
 
-/// What one node's log says of a call.
+/// The lines of one node's log that belong to a call.
 #[derive(Debug)]
 struct Log {
-    /// The node's address, or the file's name where the log does not begin with the node's start.
+    /// Address of the node, or the file name if the log does not contain the node's start.
     node: String,
-    /// At its entry.
+    /// Lines that the node wrote as the entry node.
     entry: Vec<Value>,
-    /// At the upstream's own node.
+    /// Lines that the node wrote as the owner node.
     owner: Vec<Value>,
-    /// Lines that are no JSON.
-    broken: usize,
+    /// Number of lines that are not JSON.
+    malformed: usize,
 }
 
 impl Log {
     fn read(file: &str, text: &str, id: &str) -> Self {
         let mut log =
-            Self { node: file.to_owned(), entry: Vec::new(), owner: Vec::new(), broken: 0 };
+            Self { node: file.to_owned(), entry: Vec::new(), owner: Vec::new(), malformed: 0 };
         for line in text.lines().filter(|line| !line.is_empty()) {
             let Ok(line) = serde_json::from_str::<Value>(line) else {
-                log.broken += 1;
+                log.malformed += 1;
                 continue;
             };
             if line["msg"] == "node starts" {
@@ -95,13 +95,13 @@
     }
 }
 
-/// Whether the upstream's own node wrote `line`.
+/// Whether `line` was written by an owner node.
 fn is_owner_line(line: &Value) -> bool {
     line["msg"] == "the upstream ran a call"
         || line["msg"] == "the upstream's node did not let a call in"
 }
 
-/// The path of the call that `logs` tell of; empty when none does.
+/// Formats the path of the call in `logs`; empty if no log contains the call.
 fn path(logs: &[Log]) -> String {
     let mut owners: collections::BTreeMap<&str, collections::VecDeque<&Value>> =
         logs.iter().map(|log| (log.node.as_str(), log.owner.iter().collect())).collect();
@@ -110,8 +110,10 @@
         text += &format!("entry {}\n", log.node);
         for line in &log.entry {
             let host = line["host"].as_str().unwrap_or_default();
-            if let Some(said) = owners.get_mut(host).and_then(collections::VecDeque::pop_front) {
-                text += &show("    ", &format!("upstream's node {host}"), said);
+            if let Some(owner_line) =
+                owners.get_mut(host).and_then(collections::VecDeque::pop_front)
+            {
+                text += &show("    ", &format!("upstream's node {host}"), owner_line);
             } else if host.is_empty() {
                 text += &remaining(&mut owners);
             }
@@ -119,20 +121,20 @@
         }
     }
     text += &remaining(&mut owners);
-    let broken: usize = logs.iter().map(|log| log.broken).sum();
-    if !text.is_empty() && broken > 0 {
-        text += &format!("{broken} lines are not JSON and were left out\n");
+    let malformed: usize = logs.iter().map(|log| log.malformed).sum();
+    if !text.is_empty() && malformed > 0 {
+        text += &format!("{malformed} lines are not JSON and were left out\n");
     }
     text
 }
 
-/// What upstreams' nodes say that no line of the entry speaks of.
+/// Removes and formats the lines of owner nodes that match no line of the entry node.
 fn remaining(owners: &mut collections::BTreeMap<&str, collections::VecDeque<&Value>>) -> String {
     let lines = owners.iter_mut().flat_map(|(node, lines)| lines.drain(..).map(move |l| (node, l)));
     lines.map(|(node, line)| show("    ", &format!("upstream's node {node}"), line)).collect()
 }
 
-/// One line of a log: who wrote it, what happened, and its inputs.
+/// Formats one line of a log: the node that wrote it, the message, and the other fields.
 fn show(indent: &str, who: &str, line: &Value) -> String {
     let fields = line.as_object().into_iter().flatten();
     let fields = fields.filter(|(name, _)| !HIDDEN_FIELDS.contains(&name.as_str()));
@@ -141,7 +143,7 @@
     format!("{indent}{who}: {}\n{indent}  {}\n", plain_text(&line["msg"]), fields.join(" "))
 }
 
-/// A value without the quotes of JSON.
+/// Returns a value without the quotes of a JSON string.
 fn plain_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
--- a/src/cli/trace/tests.rs
+++ b/src/cli/trace/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of the path of a call.
+//! Tests of the path of a call through several logs.
 
 use crate::cli::trace;
 
-/// The entry's clock is three seconds ahead of the others.
+/// Log of the entry node, whose clock is three seconds ahead of the others.
 const ENTRY: &str = r#"
 {"msg":"node starts","listen":"10.0.0.1:7100","ts":"2026-01-01T00:00:00.000Z"}
 {"id":"other","msg":"a call ended without an answer of its upstream","ts":"2026-01-01T00:00:04.000Z"}
@@ -11,7 +11,7 @@
 {"id":"c1","msg":"an upstream answered a call","status":200,"took_ms":40,"ts":"2026-01-01T00:00:05.040Z"}
 "#;
 
-const FULL: &str = r#"
+const REFUSED: &str = r#"
 {"msg":"node starts","listen":"10.0.0.2:7100","ts":"2026-01-01T00:00:00.000Z"}
 {"id":"c1","msg":"the upstream's node did not let a call in","running":9,"waiting":3,"ts":"2026-01-01T00:00:01.990Z"}
 "#;
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn a_path_stands_in_the_order_of_cause_whatever_the_clocks_say() {
-    let text = path(&[("c.log", RAN), ("a.log", ENTRY), ("b.log", FULL)], "c1");
+fn a_path_is_ordered_by_causality_despite_clock_differences() {
+    let text = path(&[("c.log", RAN), ("a.log", ENTRY), ("b.log", REFUSED)], "c1");
     let wanted = [
         "entry 10.0.0.1:7100",
         "    upstream's node 10.0.0.2:7100: the upstream's node did not let a call in",
@@ -46,13 +46,13 @@
 }
 
 #[test]
-fn what_only_the_upstreams_node_knows_is_shown_too() {
-    let text = path(&[("b.log", FULL)], "c1");
+fn lines_of_owner_nodes_are_shown_without_lines_of_the_entry_node() {
+    let text = path(&[("b.log", REFUSED)], "c1");
     assert!(text.starts_with("    upstream's node 10.0.0.2:7100:"), "{text}");
 }
 
 #[test]
-fn a_call_that_no_log_knows_has_no_path() {
+fn an_unknown_call_has_no_path() {
     assert_eq!(path(&[("a.log", ENTRY)], "c2"), "");
     assert_eq!(path(&[], "c1"), "");
 }
--- a/tests/check.rs
+++ b/tests/check.rs
@@ -1,4 +1,4 @@
-//! Tests of `dandelionspool check` as a process.
+//! Tests of the command `dandelionspool check`, run as a process.
 
 use std::env;
 use std::fs;
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use serde_json::Value;
 
-/// Exit code, standard output and standard error of `check` with `arguments`.
+/// Runs `check` with `arguments` and returns its exit code, standard output and standard error.
 fn check(arguments: &[&str]) -> (Option<i32>, String, String) {
     let mut command = process::Command::new(env!("CARGO_BIN_EXE_dandelionspool"));
     let output = command.arg("check").args(arguments).output().unwrap();
@@ -16,7 +16,7 @@
     (output.status.code(), text(output.stdout), text(output.stderr))
 }
 
-/// A file called `name` with `body`, for this process alone.
+/// Creates a file with `body`; its name contains `name` and the id of this process.
 fn file(name: &str, body: &str) -> path::PathBuf {
     let path = env::temp_dir().join(format!("dandelionspool-{}-{name}", process::id()));
     fs::write(&path, body).unwrap();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn faults_are_listed_once_and_end_with_1() {
+fn faults_are_listed_once_with_exit_code_1() {
     let path = file("faults.json", r#"{"format":1,"x":1,"teams":[{}]}"#);
     let name = path.to_str().unwrap();
     let (code, out, err) = check(&[name]);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn json_goes_to_standard_output() {
+fn json_is_written_to_standard_output() {
     let path = file("json.json", r#"{"format":2}"#);
     let name = path.to_str().unwrap();
     let (code, out, err) = check(&["--json", name]);
--- a/tests/publish.rs
+++ b/tests/publish.rs
@@ -1,4 +1,5 @@
-//! The real `publish` command and its real client against the log stand-in, with faults.
+//! Tests of the `publish` command and its client against the stand-in of the log service, which
+//! injects faults.
 
 use std::net;
 use std::path;
@@ -15,7 +16,7 @@
 use serde_json::Value;
 
 const EXAMPLE: &str = "examples/configurations/cascadia.json";
-const LIMIT: Duration = Duration::from_secs(20);
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn serve() -> log::Server {
     let address = net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 0));
@@ -43,7 +44,9 @@
     publish: record::Publish,
 ) -> Result<submit::Answer, submit::Error<http::Error>> {
     let seed = u64::from(publish.id.to_string().as_bytes()[0]);
-    submit::Submitter::new(client(server), rules::Builtin, LIMIT, seed).submit(publish).await
+    submit::Submitter::new(client(server), rules::Builtin, SUBMIT_TIMEOUT, seed)
+        .submit(publish)
+        .await
 }
 
 async fn records(server: &log::Server) -> Vec<logs::Record> {
@@ -51,7 +54,7 @@
     batch.unwrap().records
 }
 
-async fn accepted(server: &log::Server) -> Version {
+async fn current_version(server: &log::Server) -> Version {
     let mut follower = follow::Follower::new(client(server), rules::Builtin);
     while !follower.caught_up() {
         follower.step(Duration::ZERO).await.unwrap();
@@ -59,7 +62,7 @@
     follower.fold().version()
 }
 
-/// Runs the command; its exit code, what it printed as JSON, and its errors.
+/// Runs the command and returns its exit code, its JSON output and its standard error.
 async fn run(server: net::SocketAddr, args: &[&str], file: path::PathBuf) -> (i32, Value, String) {
     let mut command = process::Command::new(env!("CARGO_BIN_EXE_dandelionspool"));
     command.args(["publish", "--json", "--log", &server.to_string()]).args(args).arg(file);
@@ -82,7 +85,7 @@
 }
 
 #[tokio::test]
-async fn publishing_again_changes_nothing_and_says_the_first_verdict() {
+async fn publishing_again_has_no_effect_and_repeats_the_first_verdict() {
     let server = serve().await;
     let first = submit(&server, publish(0, 1)).await.unwrap();
     let second = submit(&server, publish(1, 2)).await.unwrap();
@@ -99,7 +102,7 @@
     for _ in 0..2 {
         client(&server).append(logs::streams::CONFIG, body.clone()).await.unwrap();
     }
-    assert_eq!(accepted(&server).await, Version::new(1));
+    assert_eq!(current_version(&server).await, Version::new(1));
 }
 
 #[rstest]
@@ -107,7 +110,9 @@
 #[case(2)]
 #[case(3)]
 #[tokio::test]
-async fn of_racing_operators_one_wins_and_the_others_learn_the_version(#[case] seed: u64) {
+async fn one_of_several_concurrent_publishes_wins_and_the_others_get_its_version(
+    #[case] seed: u64,
+) {
     let server = serve().await;
     let lossy = faults::Faults { lose_share: 0.5, seed, ..faults::Faults::default() };
     server.set_faults(lossy);
@@ -116,7 +121,7 @@
         let ids = [1, 2, 3].map(|operator| 10 * round + operator);
         let [a, b, c] = ids.map(|id| submit(&server, publish(base, id)));
         let (a, b, c) = tokio::join!(a, b, c);
-        let current = accepted(&server).await;
+        let current = current_version(&server).await;
         let outcomes = [a, b, c].map(|answer| answer.unwrap().outcome);
         let won = |o: &outcomes::Outcome| matches!(o, outcomes::Outcome::Accepted(s) if s.version == current);
         assert_eq!(outcomes.iter().filter(|o| won(o)).count(), 1, "{outcomes:?}");
@@ -127,7 +132,7 @@
 }
 
 #[tokio::test]
-async fn the_command_publishes_once_and_names_the_version() {
+async fn the_command_publishes_once_and_prints_the_version() {
     let server = serve().await;
     let (code, printed, errors) = run(server.address(), &["--base", "0"], example()).await;
     assert_eq!((code, &printed["version"], &printed["repeated"]), (0, &1.into(), &false.into()));
@@ -138,7 +143,7 @@
 }
 
 #[tokio::test]
-async fn the_command_names_the_current_version_in_a_conflict() {
+async fn the_command_prints_the_current_version_in_a_conflict() {
     let server = serve().await;
     submit(&server, publish(0, 1)).await.unwrap();
     let (code, printed, errors) = run(server.address(), &["--base", "7"], example()).await;
@@ -153,7 +158,9 @@
 #[case::close(faults::Outage::Close)]
 #[case::hang(faults::Outage::Hang)]
 #[tokio::test]
-async fn an_outage_ends_with_4_and_says_that_nothing_was_published(#[case] outage: faults::Outage) {
+async fn an_outage_has_exit_code_4_and_reports_that_nothing_was_published(
+    #[case] outage: faults::Outage,
+) {
     let server = serve().await;
     server.set_faults(faults::Faults { outage, ..faults::Faults::default() });
     let args = ["--base", "0", "--wait-ms", "400"];
@@ -165,7 +172,7 @@
     assert!(records(&server).await.is_empty());
 }
 
-/// A log that is empty, and gone once an append was sent.
+/// An empty log that becomes unreachable once an append was sent.
 #[derive(Clone, Default)]
 struct Vanishing(std::sync::Arc<std::sync::atomic::AtomicBool>);
 
@@ -190,15 +197,15 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_after_a_lost_answer_is_called_uncertain() {
-    let submitter = submit::Submitter::new(Vanishing::default(), rules::Builtin, LIMIT, 1);
+async fn an_outage_after_a_lost_answer_is_reported_as_uncertain() {
+    let submitter = submit::Submitter::new(Vanishing::default(), rules::Builtin, SUBMIT_TIMEOUT, 1);
     let error = submitter.submit(publish(0, 1)).await.unwrap_err();
     let uncertain = matches!(error, submit::Error::Unreachable { uncertain: true, .. });
     assert!(uncertain, "{error:?}");
 }
 
 #[tokio::test]
-async fn a_bad_file_ends_with_1_and_is_not_sent() {
+async fn an_invalid_file_has_exit_code_1_and_is_not_sent() {
     let server = serve().await;
     let file = path::Path::new(env!("CARGO_MANIFEST_DIR")).join("Cargo.toml");
     let (code, printed, errors) = run(server.address(), &["--base", "0"], file).await;
@@ -208,7 +215,7 @@
 }
 
 #[tokio::test]
-async fn a_log_of_a_newer_format_is_refused_with_3() {
+async fn a_log_with_a_newer_format_has_exit_code_3() {
     let server = serve().await;
     let newer = Bytes::from_static(b"dspc\x63\x00whatever");
     client(&server).append(logs::streams::CONFIG, newer).await.unwrap();
--- a/tests/reference_pages.rs
+++ b/tests/reference_pages.rs
@@ -1,6 +1,6 @@
-//! Keeps the tables of docs/CONFIGURATION.md and docs/SETTINGS.md true: each is made here from the
-//! schema, or from the defaults, ranges and doc comments of the settings, and compared as a whole.
-//! When one differs, the failure prints the table to put into the page.
+//! Compares the tables of docs/CONFIGURATION.md and docs/SETTINGS.md with the code. Each table is
+//! generated from the schema, or from the defaults, ranges and doc comments of the settings. If a
+//! table differs, the failure prints the generated one to put into the page.
 
 use std::collections;
 use std::fs;
@@ -18,7 +18,7 @@
     fs::read_to_string(root.join(name)).unwrap()
 }
 
-/// The rows of the table of `page` whose first column is headed `heading`.
+/// Returns the rows of the table in `page` whose first column has the heading `heading`.
 fn table(page: &str, heading: &str) -> String {
     let page = read(page);
     let start = page.find(&format!("| {heading} |")).expect("a table with this heading");
@@ -30,7 +30,7 @@
         .collect()
 }
 
-/// The unit that the end of a field's name says.
+/// Returns the unit of a field according to the end of its name.
 fn unit(name: &str) -> &'static str {
     let units = [
         ("_ms", "ms"),
@@ -53,8 +53,8 @@
     format!("`{value}`")
 }
 
-/// The rows for the fields of the object `schema`, which stand at `place`.
-fn schema_rows(root: &Value, schema: &Value, place: &str, rows: &mut String) {
+/// Adds the rows for the fields of the object `schema` to `rows`; `prefix` precedes their names.
+fn schema_rows(root: &Value, schema: &Value, prefix: &str, rows: &mut String) {
     for (name, field) in schema["properties"].as_object().unwrap() {
         let target = follow(root, field);
         let required =
@@ -64,7 +64,7 @@
             (None, true) => "required".to_owned(),
             (None, false) => "none".to_owned(),
         };
-        let full = format!("{place}{name}");
+        let full = format!("{prefix}{name}");
         let meaning = field["description"].as_str().unwrap();
         rows.push_str(&row([&full, &default, unit(name), &schema_range(root, target), meaning]));
         if target["type"] == "object" {
@@ -77,7 +77,7 @@
     }
 }
 
-/// What `$ref` in `schema` leads to, or `schema` itself.
+/// Returns the target of `$ref` in `schema`, or `schema` itself if it has none.
 fn follow<'a>(root: &'a Value, schema: &'a Value) -> &'a Value {
     let target = schema.get("$ref").and_then(Value::as_str);
     target.map_or(schema, |t| root.pointer(&t[1..]).unwrap())
@@ -85,17 +85,17 @@
 
 fn schema_range(root: &Value, schema: &Value) -> String {
     let of = |key: &str| schema.get(key);
-    if let (Some(least), Some(most)) = (of("minimum"), of("maximum")) {
-        return if least == most { least.to_string() } else { format!("{least} to {most}") };
+    if let (Some(min), Some(max)) = (of("minimum"), of("maximum")) {
+        return if min == max { min.to_string() } else { format!("{min} to {max}") };
     }
-    if let (Some(least), Some(most)) = (of("exclusiveMinimum"), of("exclusiveMaximum")) {
-        return format!("between {least} and {most}");
+    if let (Some(min), Some(max)) = (of("exclusiveMinimum"), of("exclusiveMaximum")) {
+        return format!("between {min} and {max}");
     }
-    if let Some(most) = of("maxItems") {
-        let least = of("minItems").map_or("0".to_owned(), Value::to_string);
+    if let Some(max) = of("maxItems") {
+        let min = of("minItems").map_or("0".to_owned(), Value::to_string);
         let options = follow(root, &schema["items"]).get("enum");
         let options = options.map_or(String::new(), |o| format!(" of `{o}`"));
-        return format!("{least} to {most} items{options}");
+        return format!("{min} to {max} items{options}");
     }
     match schema["type"].as_str().unwrap() {
         "boolean" => "`true`, `false`".to_owned(),
@@ -115,7 +115,7 @@
     assert!(table("docs/CONFIGURATION.md", "field") == rows, "the table has to be\n{rows}");
 }
 
-/// Doc comments of the public fields of the struct called `name` in the file `source`.
+/// Returns the doc comments of the public fields of the struct `name` in the file `source`.
 fn docs(source: &str, name: &str) -> collections::BTreeMap<String, String> {
     let source = read(source);
     let start = source.find(&format!("pub struct {name} {{")).unwrap();
@@ -132,11 +132,12 @@
     docs
 }
 
-/// Rows for the settings `defaults`, the struct called `name` in the file `source`, at `place`.
+/// Returns the rows for the settings `defaults`, the struct `name` in the file `source`. `prefix`
+/// precedes the names of the fields.
 fn settings_rows<T: Serialize>(
     defaults: &T,
     (source, name): (&str, &str),
-    place: &str,
+    prefix: &str,
     limits: &[limits::Limit],
 ) -> String {
     let docs = docs(source, name);
@@ -144,7 +145,7 @@
     let fields = tree.as_object().unwrap().iter();
     let fields = fields.filter(|(_, value)| value.as_object().is_none_or(|o| o.is_empty()));
     let line = |(field, value): (&String, &Value)| {
-        let full = format!("{place}{field}");
+        let full = format!("{prefix}{field}");
         let pointer = format!("/{}", full.replace('.', "/"));
         let limit = limits.iter().find(|l| l.pointer == pointer);
         let range = limit.map_or(String::new(), |l| format!("{} to {}", l.min, l.max));
@@ -153,7 +154,7 @@
     fields.map(line).collect()
 }
 
-/// The rows for every setting of a node.
+/// Returns the rows for all settings of a node.
 fn node_rows() -> String {
     let node = configs::Node::default();
     let mut rows = settings_rows(&node, ("src/configs/mod.rs", "Node"), "", limits::NODE);
@@ -161,13 +162,13 @@
     for (section, fields) in tree.as_object().unwrap().iter().filter(|(_, v)| v.is_object()) {
         let name = format!("{}{}", section[..1].to_uppercase(), &section[1..]);
         let source = format!("src/configs/{section}.rs");
-        let place = format!("{section}.");
-        rows.push_str(&settings_rows(fields, (&source, &name), &place, limits::NODE));
+        let prefix = format!("{section}.");
+        rows.push_str(&settings_rows(fields, (&source, &name), &prefix, limits::NODE));
     }
     rows
 }
 
-/// The rows for every setting of a whole small mesh but those of its nodes.
+/// Returns the rows for all settings of a small mesh, except those of its nodes.
 fn local_rows() -> String {
     let source = "src/configs/local.rs";
     let local = local::Local::default();
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -1,4 +1,5 @@
-//! The commands that report, as programs, against the stand-in of the log and a node's port.
+//! Tests of the reporting commands, run as processes against the stand-in of the log service and
+//! the operators' port of a node.
 
 use std::net;
 use std::process;
@@ -37,13 +38,13 @@
         kind: "buy".into(),
         weight: 5,
     };
-    let name = record::TotalId { host, incarnation: 1, sequence };
+    let id = record::TotalId { host, incarnation: 1, sequence };
     let rows = vec![record::Row { label, served }];
-    record::encode(&record::Total { id: name, until_unix_ms, rows })
+    record::encode(&record::Total { id, until_unix_ms, rows })
 }
 
 #[tokio::test]
-async fn usage_is_charged_by_period_and_repeats_count_once() {
+async fn usage_is_charged_by_period_and_duplicates_count_once() {
     let any = net::SocketAddr::from(([127, 0, 0, 1], 0));
     let log = standin::Server::bind(any, standin::Options::default()).await.expect("bound");
     let settings = configs::log::Log { address: log.address(), ..configs::log::Log::default() };
@@ -72,18 +73,18 @@
 
 #[tokio::test]
 async fn a_report_of_a_mesh_with_a_silent_host_is_partial() {
-    task::LocalSet::new().run_until(partial()).await;
+    task::LocalSet::new().run_until(check_partial_reports()).await;
 }
 
-async fn partial() {
+async fn check_partial_reports() {
     let [_, _, high, low] = process::id().to_be_bytes();
     let host =
         |n| host::HostId::new(net::SocketAddr::from(([127, 208 + (high & 7), low, n], 7100)));
     let settings = configs::Node { listen: host(1).member_addr(), ..configs::Node::default() };
-    let place = Arc::new(view::Locality { region: "region".into(), zone: "zone".into() });
+    let locality = Arc::new(view::Locality { region: "region".into(), zone: "zone".into() });
     let hosts = [1, 2].map(|n| view::Host {
         id: host(n),
-        locality: Arc::clone(&place),
+        locality: Arc::clone(&locality),
         incarnation: 1,
         health: view::Health::Alive,
         upstream: None,
@@ -121,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn what_cannot_be_reached_ends_with_4() {
+async fn an_unreachable_node_or_log_has_exit_code_4() {
     let closed = "127.0.0.1:1";
     for command in [
         args(&["status", "--node", closed]),
