--- a/src/admin/shell.rs
+++ b/src/admin/shell.rs
@@ -146,7 +146,7 @@
         // While the ledger is behind, counts wait in the ring from the call path and in its
         // tally.
         if ledger.send(delta).await.is_err() {
-            log::warn!("the ledger ended before the admin duty; usage counts are lost");
+            log::warn!("the ledger ended before the admin duty; usage counts may be lost");
         }
     }
 }
