--- a/src/configs/local.rs
+++ b/src/configs/local.rs
@@ -17,29 +17,29 @@
 #[cfg(test)]
 mod tests;
 
-/// Most hosts of a small mesh.
-pub const HOSTS: u64 = 250;
+/// Maximum number of hosts of a small mesh.
+pub const MAX_HOSTS: u64 = 250;
 
-/// Longest time given to a stand-in, in milliseconds.
-const MOST_MS: u64 = 600_000;
+/// Maximum value of a duration of an upstream stand-in.
+const MAX_DURATION_MS: u64 = 600_000;
 
 /// Settings of a whole small mesh in one process, on loopback.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Local {
-    /// Configuration file that is published at the start, relative to the settings file.
+    /// Configuration file published at the start, as a path relative to the settings file.
     pub configuration: path::PathBuf,
-    /// Base address of the first host; each further host has the next address.
+    /// Base address of the first host; each further host gets the next IP address.
     pub listen: net::SocketAddr,
-    /// Port of each upstream, at the address of its host; its control port follows.
+    /// Port of each upstream, at the IP address of its host; the control port is the next port.
     pub upstream_port: u16,
     /// Region of every host.
     pub region: SmolStr,
     /// The stand-in for the platform's log service.
     pub log: Log,
-    /// Upstreams by the name of their class in the configuration.
+    /// Upstreams by the name of their class in the configuration file.
     pub upstreams: collections::BTreeMap<SmolStr, Group>,
-    /// Settings of every node; addresses, place, mesh and key are filled in.
+    /// Settings of every node; addresses, region, zone, mesh and key are filled in.
     pub node: configs::Node,
 }
 
@@ -63,9 +63,9 @@
 pub struct Log {
     /// Address it listens on.
     pub address: net::SocketAddr,
-    /// Appends allowed a second.
+    /// Maximum number of appends per second.
     pub appends: u32,
-    /// Time a record is kept, in seconds.
+    /// Time for which a record is retained, in seconds.
     pub retention_s: u64,
 }
 
@@ -85,13 +85,13 @@
 pub struct Group {
     /// Number of upstreams in each availability zone.
     pub zones: collections::BTreeMap<SmolStr, u16>,
-    /// Mean time of a call, in milliseconds.
+    /// Mean duration of a call, in milliseconds.
     pub mean_ms: u64,
-    /// Mean time of calls under a path, in milliseconds; the first path that fits counts.
+    /// Mean duration of calls by path prefix, in milliseconds; the first matching prefix applies.
     pub means_ms: collections::BTreeMap<SmolStr, u64>,
-    /// Time after the start in which calls take longer, in milliseconds.
+    /// Time after the start during which calls take longer, in milliseconds.
     pub cold_ms: u64,
-    /// Time in which calls are still run after a drain was announced, in milliseconds.
+    /// Time for which calls are still run after a drain was announced, in milliseconds.
     pub grace_ms: u64,
 }
 
@@ -118,23 +118,23 @@
     pub zone: SmolStr,
     /// Class of its upstream, a key of [`Local::upstreams`].
     pub class: SmolStr,
-    /// Key of the class in the mesh the hosts were made for.
+    /// Key of the class in the mesh for which the hosts were created.
     pub key: mesh::ClassKey,
 }
 
 impl Local {
-    /// The hosts, one for each upstream, zone by zone in each class.
+    /// Creates one host for each upstream, ordered by class and then by zone.
     ///
     /// # Errors
     ///
-    /// A class that `mesh` does not have.
+    /// Fails when a class does not exist in `mesh`.
     pub fn hosts(&self, mesh: &mesh::Mesh) -> Result<Vec<Host>, fault::Faults> {
         let mut hosts = Vec::new();
         let mut faults = Vec::new();
         for (class, group) in &self.upstreams {
-            match key(mesh, class) {
+            match class_key(mesh, class) {
                 Some(key) => self.add_hosts(class, key, group, &mut hosts),
-                None => faults.push(missing(class)),
+                None => faults.push(unknown_class(class)),
             }
         }
         if faults.is_empty() { Ok(hosts) } else { Err(fault::Faults::new(faults)) }
@@ -149,7 +149,7 @@
     ) {
         let zones = group.zones.iter();
         for zone in zones.flat_map(|(zone, count)| std::iter::repeat_n(zone, usize::from(*count))) {
-            let address = nth(self.listen.ip(), hosts.len());
+            let address = nth_address(self.listen.ip(), hosts.len());
             hosts.push(Host {
                 listen: net::SocketAddr::new(address, self.listen.port()),
                 upstream: net::SocketAddr::new(address, self.upstream_port),
@@ -162,14 +162,14 @@
 }
 
 impl load::Settings for Local {
-    fn place(preset: Value) -> Value {
+    fn nest_preset(preset: Value) -> Value {
         serde_json::json!({ "node": preset })
     }
 
-    fn inspect(tree: &Value, faults: &mut Vec<fault::Fault>) {
-        let node = faults.len();
+    fn validate(tree: &Value, faults: &mut Vec<fault::Fault>) {
+        let node_faults = faults.len();
         limits::inspect(tree.get("node").unwrap_or(&Value::Null), faults);
-        for fault in &mut faults[node..] {
+        for fault in &mut faults[node_faults..] {
             fault.pointer.insert_str(0, "/node");
         }
         limits::check_length(tree, "/configuration", 1, faults);
@@ -180,11 +180,11 @@
     }
 }
 
-/// Range of each number that is not a setting of the nodes.
+/// Range of each number that is not a setting of a node.
 pub const LIMITS: &[limits::Limit] = &[
-    limits::Limit { pointer: "/upstream_port", least: 1, most: u16::MAX as u64 - 1 },
-    limits::Limit { pointer: "/log/appends", least: 1, most: 1_000_000 },
-    limits::Limit { pointer: "/log/retention_s", least: 1, most: 10 * 366 * 86_400 },
+    limits::Limit { pointer: "/upstream_port", min: 1, max: u16::MAX as u64 - 1 },
+    limits::Limit { pointer: "/log/appends", min: 1, max: 1_000_000 },
+    limits::Limit { pointer: "/log/retention_s", min: 1, max: 10 * 366 * 86_400 },
 ];
 
 fn check_groups(tree: &Value, faults: &mut Vec<fault::Fault>) {
@@ -204,7 +204,7 @@
     }
     let limit = match hosts {
         0 => (fault::Bound::AtLeast, 1),
-        hosts if hosts > HOSTS => (fault::Bound::AtMost, HOSTS),
+        hosts if hosts > MAX_HOSTS => (fault::Bound::AtMost, MAX_HOSTS),
         _ => return,
     };
     faults.push(out_of_range("/upstreams", hosts, limit));
@@ -212,8 +212,8 @@
 
 fn check_millis(value: Option<&Value>, pointer: &str, faults: &mut Vec<fault::Fault>) {
     match value.and_then(Value::as_u64) {
-        Some(value) if value > MOST_MS => {
-            faults.push(out_of_range(pointer, value, (fault::Bound::AtMost, MOST_MS)));
+        Some(value) if value > MAX_DURATION_MS => {
+            faults.push(out_of_range(pointer, value, (fault::Bound::AtMost, MAX_DURATION_MS)));
         }
         _ => {}
     }
@@ -226,12 +226,12 @@
     fault::Fault::new(pointer, problem)
 }
 
-fn key(mesh: &mesh::Mesh, class: &SmolStr) -> Option<mesh::ClassKey> {
-    let place = mesh.classes.iter().position(|c| c.name == *class)?;
-    u16::try_from(place).ok().map(mesh::ClassKey)
+fn class_key(mesh: &mesh::Mesh, class: &SmolStr) -> Option<mesh::ClassKey> {
+    let index = mesh.classes.iter().position(|c| c.name == *class)?;
+    u16::try_from(index).ok().map(mesh::ClassKey)
 }
 
-fn missing(class: &SmolStr) -> fault::Fault {
+fn unknown_class(class: &SmolStr) -> fault::Fault {
     let problem = fault::Problem::DanglingReference {
         list: "the configuration's /upstreams".to_owned(),
         name: class.clone(),
@@ -239,8 +239,8 @@
     fault::Fault::new(fault::join("/upstreams", class), problem)
 }
 
-/// The address `n` after `first`.
-fn nth(first: net::IpAddr, n: usize) -> net::IpAddr {
+/// Returns `first` plus `n`.
+fn nth_address(first: net::IpAddr, n: usize) -> net::IpAddr {
     match first {
         net::IpAddr::V4(ip) => net::Ipv4Addr::from(u32::from(ip).wrapping_add(n as u32)).into(),
         net::IpAddr::V6(ip) => net::Ipv6Addr::from(u128::from(ip).wrapping_add(n as u128)).into(),
