--- a/src/admin/shell.rs
+++ b/src/admin/shell.rs
@@ -10,7 +10,7 @@
 use tokio::task;
 
 use crate::admin::{self, announce, calls, metrics, server, state};
-use crate::burn::book;
+use crate::burn::counts;
 use crate::clock::Clock as _;
 use crate::configs;
 use crate::context;
@@ -92,7 +92,7 @@
             address.ip(),
             time::Duration::from_millis(settings.admin.lease_ms),
         )),
-        book: RefCell::new(book::Book::new(ctx.clock.unix_millis())),
+        book: RefCell::new(counts::Counts::new(ctx.clock.unix_millis())),
         applied_unix_ms: Cell::new(None),
         reports: Semaphore::new(state::REPORTS),
     });
--- a/src/admin/state.rs
+++ b/src/admin/state.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{Semaphore, watch};
 
 use crate::admin::{announce, ask, metrics, scatter, status, whole};
-use crate::burn::{book, report};
+use crate::burn::{counts, report};
 use crate::clock::Clock as _;
 use crate::configs;
 use crate::context;
@@ -40,7 +40,7 @@
     pub(super) stage: watch::Receiver<node::Stage>,
     pub(super) traffic: Arc<traffic::Traffic>,
     pub(super) desk: RefCell<announce::Desk>,
-    pub(super) book: RefCell<book::Book>,
+    pub(super) book: RefCell<counts::Counts>,
     /// When the applied configuration was seen, in milliseconds since the Unix epoch.
     pub(super) applied_unix_ms: Cell<Option<u64>>,
     pub(super) reports: Semaphore,
@@ -154,15 +154,15 @@
     }
 
     /// What this node counted for the objectives of its configuration.
-    pub fn burn(&self) -> book::Page {
+    pub fn burn(&self) -> counts::Snapshot {
         let mesh = Arc::clone(&self.applied.borrow().mesh);
-        self.book.borrow().page(&mesh, self.ctx.clock.unix_millis())
+        self.book.borrow().snapshot(&mesh, self.ctx.clock.unix_millis())
     }
 
     /// The report on service levels; `None` when too many such reports are being made.
     pub async fn mesh_burn(&self) -> Option<report::Report> {
         let _place = self.reports.try_acquire().ok()?;
-        let mut gathered = self.gather::<book::Page>("/burn").await;
+        let mut gathered = self.gather::<counts::Snapshot>("/burn").await;
         gathered.answers.insert(0, self.burn());
         let missing = gathered.missing.iter().map(|h| smol_str::format_smolstr!("{h}"));
         Some(report::report(&gathered.answers, missing.collect()))
--- a/src/burn/book.rs
+++ b/src/burn/counts.rs
@@ -41,7 +41,7 @@
 
 /// Counts of all services at one node.
 #[derive(Debug)]
-pub struct Book {
+pub struct Counts {
     services: collections::BTreeMap<SmolStr, Service>,
     since_unix_ms: u64,
 }
@@ -67,14 +67,14 @@
 
 /// What one node counted.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Page {
+pub struct Snapshot {
     /// When the node began to count, in milliseconds since the Unix epoch.
     pub since_unix_ms: u64,
     /// By service of the configuration that the node runs.
     pub rows: Vec<Row>,
 }
 
-impl Book {
+impl Counts {
     /// A book of a process that begins to count at `unix_ms`.
     pub fn new(unix_ms: u64) -> Self {
         Self { services: collections::BTreeMap::new(), since_unix_ms: unix_ms }
@@ -98,7 +98,7 @@
     }
 
     /// The counts of the services of `mesh` at `unix_ms`.
-    pub fn page(&self, mesh: &mesh::Mesh, unix_ms: u64) -> Page {
+    pub fn snapshot(&self, mesh: &mesh::Mesh, unix_ms: u64) -> Snapshot {
         let now = unix_ms / 1000;
         let row = |service: &mesh::Service| {
             let objectives = &service.objectives;
@@ -114,7 +114,10 @@
                 period: sum(objectives.window.as_secs()),
             }
         };
-        Page { since_unix_ms: self.since_unix_ms, rows: mesh.services.iter().map(row).collect() }
+        Snapshot {
+            since_unix_ms: self.since_unix_ms,
+            rows: mesh.services.iter().map(row).collect(),
+        }
     }
 }
 
--- a/src/burn/mod.rs
+++ b/src/burn/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::usage;
 
-pub mod book;
+pub mod counts;
 pub mod plot;
 pub mod report;
 
@@ -21,7 +21,7 @@
 pub const WINDOWS: [u64; 4] = [5 * MINUTE, 30 * MINUTE, HOUR, 6 * HOUR];
 
 /// Names of [`WINDOWS`].
-pub const NAMES: [&str; WINDOWS.len()] = ["5m", "30m", "1h", "6h"];
+pub const WINDOW_NAMES: [&str; WINDOWS.len()] = ["5m", "30m", "1h", "6h"];
 
 /// Two windows that must both burn at a rate for an alert: the long one shows that it matters, the
 /// short one that it goes on.
--- a/src/burn/plot.rs
+++ b/src/burn/plot.rs
@@ -67,7 +67,7 @@
     let title =
         format!("{partial}burn rates, heard from {} of {} nodes", coverage.heard, coverage.hosts);
     area.draw(&Text::new(title, (12, 12), ("sans-serif", 20).into_font()))?;
-    for (place, (name, colour)) in (0..).zip(burn::NAMES.iter().zip(COLOURS)) {
+    for (place, (name, colour)) in (0..).zip(burn::WINDOW_NAMES.iter().zip(COLOURS)) {
         let left = 12 + place * 90;
         area.draw(&Rectangle::new([(left, 48), (left + 14, 62)], colour.filled()))?;
         area.draw(&Text::new(*name, (left + 20, 46), ("sans-serif", 15).into_font()))?;
--- a/src/burn/report.rs
+++ b/src/burn/report.rs
@@ -6,7 +6,7 @@
 use smol_str::SmolStr;
 
 use crate::admin::whole;
-use crate::burn::{self, Alert, Ratio, book};
+use crate::burn::{self, Alert, Ratio, counts};
 
 /// What an objective is about.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
@@ -31,7 +31,7 @@
     pub window_s: u64,
     /// How urgent its burn is.
     pub alert: Alert,
-    /// Burn rate by window, see [`burn::NAMES`].
+    /// Burn rate by window, see [`burn::WINDOW_NAMES`].
     pub burn: [f64; burn::WINDOWS.len()],
     /// Share of the budget left in its period; below 0 when it is overspent, 1 without calls.
     pub budget_left: f64,
@@ -52,8 +52,8 @@
 }
 
 /// Puts `pages` together. Objectives are those of the first page that has the service.
-pub fn report(pages: &[book::Page], missing: Vec<SmolStr>) -> Report {
-    let mut rows = collections::BTreeMap::<SmolStr, book::Row>::new();
+pub fn report(pages: &[counts::Snapshot], missing: Vec<SmolStr>) -> Report {
+    let mut rows = collections::BTreeMap::<SmolStr, counts::Row>::new();
     for row in pages.iter().flat_map(|page| &page.rows) {
         match rows.get_mut(&row.service) {
             Some(sum) => add(sum, row),
@@ -72,14 +72,14 @@
     }
 }
 
-fn add(sum: &mut book::Row, row: &book::Row) {
+fn add(sum: &mut counts::Row, row: &counts::Row) {
     for (mine, theirs) in sum.windows.iter_mut().zip(&row.windows) {
         mine.add(theirs);
     }
     sum.period.add(&row.period);
 }
 
-fn lines(row: &book::Row) -> [Line; 2] {
+fn lines(row: &counts::Row) -> [Line; 2] {
     let windows = |of: fn(&burn::Sums) -> Ratio| row.windows.each_ref().map(of);
     [
         line(row, Objective::Availability, row.availability, windows(|s| s.availability))
@@ -89,7 +89,7 @@
 }
 
 fn line(
-    row: &book::Row,
+    row: &counts::Row,
     objective: Objective,
     target: f64,
     windows: [Ratio; burn::WINDOWS.len()],
--- a/src/burn/tests.rs
+++ b/src/burn/tests.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 
-use crate::burn::{Alert, book, plot, report};
+use crate::burn::{Alert, counts, plot, report};
 use crate::mesh;
 use crate::usage;
 
@@ -46,8 +46,8 @@
 }
 
 /// A book after `seconds` seconds with `refused` of 1000 calls refused each second from `since`.
-fn book(seconds: u64, since: u64, refused: u64) -> book::Book {
-    let mut book = book::Book::new(0);
+fn book(seconds: u64, since: u64, refused: u64) -> counts::Counts {
+    let mut book = counts::Counts::new(0);
     for now in 0..seconds {
         let refused = if now >= since { refused } else { 0 };
         book.add(&delta("shop", 1000 - refused, refused, 0), now * 1000);
@@ -55,8 +55,8 @@
     book
 }
 
-fn shop(book: &book::Book, at: u64) -> report::Line {
-    let page = book.page(&mesh(30 * DAY), at * 1000);
+fn shop(book: &counts::Counts, at: u64) -> report::Line {
+    let page = book.snapshot(&mesh(30 * DAY), at * 1000);
     let report = report::report(&[page], Vec::new());
     let shop =
         |l: &&report::Line| l.service == "shop" && l.objective == report::Objective::Availability;
@@ -78,7 +78,7 @@
 fn a_burn_that_is_over_alerts_less_and_then_no_more() {
     let mut book = book(3600, 0, 50);
     assert_eq!(shop(&book, 3600).alert, Alert::Fast);
-    let good = |book: &mut book::Book, from: u64, to: u64| {
+    let good = |book: &mut counts::Counts, from: u64, to: u64| {
         (from..to).for_each(|now| book.add(&delta("shop", 1000, 0, 0), now * 1000));
     };
     good(&mut book, 3600, 3600 + 420);
@@ -110,9 +110,9 @@
 
 #[test]
 fn latency_counts_served_calls_alone() {
-    let mut book = book::Book::new(0);
+    let mut book = counts::Counts::new(0);
     book.add(&delta("desk", 90, 10, 9), 1000);
-    let report = report::report(&[book.page(&mesh(DAY), 2000)], Vec::new());
+    let report = report::report(&[book.snapshot(&mesh(DAY), 2000)], Vec::new());
     let desk = |l: &&report::Line| l.service == "desk" && l.objective == report::Objective::Latency;
     let line = report.lines.iter().find(desk).expect("a line");
     assert_eq!((line.period.total, line.period.bad), (90, 9));
@@ -121,9 +121,9 @@
 
 #[test]
 fn pages_add_up_and_the_worst_is_first() {
-    let mut two = book::Book::new(5000);
+    let mut two = counts::Counts::new(5000);
     two.add(&delta("desk", 10, 0, 0), 6000);
-    let pages = [book(600, 0, 3).page(&mesh(DAY), 600_000), two.page(&mesh(DAY), 600_000)];
+    let pages = [book(600, 0, 3).snapshot(&mesh(DAY), 600_000), two.snapshot(&mesh(DAY), 600_000)];
     let report = report::report(&pages, vec!["10.0.0.9:7100".into()]);
     assert_eq!(report.lines.len(), 4);
     assert_eq!(report.lines[0].service, "shop");
@@ -136,7 +136,7 @@
 
 #[test]
 fn memory_is_bounded_over_months() {
-    let mut book = book::Book::new(0);
+    let mut book = counts::Counts::new(0);
     for hour in 0..24 * 90 {
         for minute in 0..60 {
             book.add(&delta("shop", 1, 0, 0), (hour * 3600 + minute * 60) * 1000);
--- a/src/cli/report.rs
+++ b/src/cli/report.rs
@@ -97,7 +97,7 @@
 fn burn_text(report: &report::Report) -> String {
     let mut text = ask::coverage(&report.coverage);
     text += &format!("all of them count since {}\n\n", ask::moment(report.since_unix_ms));
-    let names = burn::NAMES.map(|name| format!("{name:>8}")).concat();
+    let names = burn::WINDOW_NAMES.map(|name| format!("{name:>8}")).concat();
     text += &format!(
         "{:<6} {:<24} {:<13} {:>8} {names} {:>8} {:>10}\n",
         "ALERT", "SERVICE", "OBJECTIVE", "TARGET", "BUDGET", "CALLS"
