--- a/src/border/mod.rs
+++ b/src/border/mod.rs
@@ -1,6 +1,7 @@
-//! Types at the border, generated from the schemas and committed.
+//! Types of external formats, generated from the schemas in `schema/`.
 //!
-//! The build needs no generator. After a change of a schema, run by hand:
+//! The generated code is committed, so that the build needs no generator. After a change of a
+//! schema, generate it again:
 //!
 //! ```sh
 //! cargo install cargo-typify
--- a/src/burn/mod.rs
+++ b/src/burn/mod.rs
@@ -1,7 +1,8 @@
-//! Service-level objectives: burn rates and the budget left.
+//! Service-level objectives: burn rates and remaining error budgets.
 //!
-//! Each node keeps, for each service, how many of the calls it answered as their entry were good
-//! and bad, in rings of buckets of bounded size. A report adds up the windows of all nodes.
+//! Each node counts, for each service, the good and the bad calls among those that it answered as
+//! entry node. The counts are kept in ring buffers of bounded size. A report adds up the counts of
+//! all nodes.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,78 +18,79 @@
 const MINUTE: u64 = 60;
 const HOUR: u64 = 60 * MINUTE;
 
-/// Lengths of the windows of burn rates, in seconds, shortest first.
+/// Lengths of the windows over which burn rates are computed, in seconds, shortest first.
 pub const WINDOWS: [u64; 4] = [5 * MINUTE, 30 * MINUTE, HOUR, 6 * HOUR];
 
 /// Names of [`WINDOWS`].
 pub const WINDOW_NAMES: [&str; WINDOWS.len()] = ["5m", "30m", "1h", "6h"];
 
-/// Two windows that must both burn at a rate for an alert: the long one shows that it matters, the
-/// short one that it goes on.
+/// A multi-window alert rule: the burn rate must exceed a threshold in two windows. The long window
+/// shows that a significant part of the budget is spent, the short one that the burn continues.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rule {
-    /// Place of the short window among [`WINDOWS`].
+    /// Index of the short window in [`WINDOWS`].
     pub short: usize,
-    /// Place of the long window.
+    /// Index of the long window in [`WINDOWS`].
     pub long: usize,
-    /// Burn rate from which on it alerts: 1 spends the budget in exactly the objective's window.
+    /// Burn rate above which the rule fires. At a rate of 1 the budget lasts exactly for the
+    /// objective's period.
     pub rate: f64,
-    /// What to do.
+    /// Alert that the rule raises.
     pub alert: Alert,
 }
 
-/// The rules, the most urgent first. With a window of 30 days, the first one finds 2 % of the
-/// budget spent within an hour, the second one 5 % within six.
+/// The alert rules, most urgent first. With a period of 30 days, the first one fires when 2 % of
+/// the budget are spent within one hour, the second one when 5 % are spent within six hours.
 pub const RULES: [Rule; 2] = [
     Rule { short: 0, long: 2, rate: 14.4, alert: Alert::Fast },
     Rule { short: 1, long: 3, rate: 6.0, alert: Alert::Slow },
 ];
 
-/// How urgent a burn is.
+/// Urgency of a burn rate.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Alert {
-    /// Wake somebody.
+    /// Needs attention at once: page somebody.
     Fast,
-    /// Look at it today.
+    /// Needs attention within the day.
     Slow,
-    /// Nothing to do.
+    /// No rule fires.
     None,
 }
 
-/// Calls that count for an objective, and those of them that missed it.
+/// Number of calls to which an objective applies, and of those that missed it.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Ratio {
-    /// Calls that count.
+    /// Calls to which the objective applies.
     pub total: u64,
     /// Calls that missed the objective.
     pub bad: u64,
 }
 
 impl Ratio {
-    /// Adds `other`; saturates.
+    /// Adds `other`; the counts saturate.
     pub fn add(&mut self, other: Ratio) {
         self.total = self.total.saturating_add(other.total);
         self.bad = self.bad.saturating_add(other.bad);
     }
 
-    /// Share of the calls that missed the objective; 0 without calls.
+    /// Share of the calls that missed the objective, from 0 to 1; 0 without calls.
     pub fn share(self) -> f64 {
         if self.total == 0 { 0.0 } else { self.bad as f64 / self.total as f64 }
     }
 }
 
-/// Counts of one service.
+/// Counts of one service for each of its objectives.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Sums {
-    /// All calls but those whose caller left; bad unless served whole.
+    /// All calls except those whose caller disconnected. Bad unless served completely.
     pub availability: Ratio,
-    /// Calls served; bad when slower than the objective.
+    /// Calls that were served. Bad if slower than the objective.
     pub latency: Ratio,
 }
 
 impl Sums {
-    /// The counts of `totals`.
+    /// Derives the counts from the usage `totals` of a service.
     pub fn of(totals: &usage::Totals) -> Self {
         let served = totals.of(usage::Outcome::Served);
         let bad = [usage::Outcome::Failed, usage::Outcome::Refused, usage::Outcome::Unknown];
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Adds `other`; saturates.
+    /// Adds `other`; the counts saturate.
     pub fn add(&mut self, other: &Sums) {
         self.availability.add(other.availability);
         self.latency.add(other.latency);
--- a/src/burn/report.rs
+++ b/src/burn/report.rs
@@ -1,4 +1,4 @@
-//! The report on service levels, put together from the counts of many nodes.
+//! The report on service-level objectives, merged from the counts of many nodes.
 
 use std::collections;
 
@@ -8,13 +8,13 @@
 use crate::admin::whole;
 use crate::burn::{self, Alert, Ratio, counts};
 
-/// What an objective is about.
+/// Type of an objective.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Objective {
-    /// Calls served whole among all.
+    /// Share of all calls that are served completely.
     Availability,
-    /// Calls within the latency among those served.
+    /// Share of served calls that meet the latency objective.
     Latency,
 }
 
@@ -23,38 +23,40 @@
 pub struct Line {
     /// Name of the service.
     pub service: SmolStr,
-    /// What the objective is about.
+    /// Type of the objective.
     pub objective: Objective,
-    /// Share of calls to meet it.
+    /// Share of calls that are to meet the objective.
     pub target: f64,
-    /// Period of its budget, in seconds.
+    /// Period of the error budget, in seconds.
     pub window_s: u64,
-    /// How urgent its burn is.
+    /// Urgency of its burn rates.
     pub alert: Alert,
-    /// Burn rate by window, see [`burn::WINDOW_NAMES`].
+    /// Burn rate in each of [`burn::WINDOWS`].
     pub burn: [f64; burn::WINDOWS.len()],
-    /// Share of the budget left in its period; below 0 when it is overspent, 1 without calls.
+    /// Remaining share of the error budget; negative if it is overspent, 1 without calls.
     pub budget_left: f64,
-    /// Calls counted in the period.
+    /// Counts in the period of the error budget.
     pub period: Ratio,
 }
 
-/// The report.
+/// A report on the objectives of all services.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Report {
-    /// How much of the mesh this covers. What is not whole counts only the nodes heard.
+    /// How much of the mesh the report covers. An incomplete report counts only the nodes that
+    /// answered.
     pub coverage: whole::Coverage,
-    /// When the node that counts for the shortest time began, in milliseconds since the Unix
-    /// epoch: a node counts from its start on, and a period that began before is not whole.
+    /// Time from which on all nodes have counted, in milliseconds since the Unix epoch. A node
+    /// counts from its start on, so that counts of a period that began earlier are incomplete.
     pub since_unix_ms: u64,
-    /// The objectives, worst first.
+    /// One line for each objective, worst first.
     pub lines: Vec<Line>,
 }
 
-/// Puts `pages` together. Objectives are those of the first page that has the service.
-pub fn report(pages: &[counts::Snapshot], missing: Vec<SmolStr>) -> Report {
+/// Merges `snapshots` into a report; `missing` are the hosts that did not answer. The objectives of
+/// a service are taken from the first snapshot that has it.
+pub fn report(snapshots: &[counts::Snapshot], missing: Vec<SmolStr>) -> Report {
     let mut rows = collections::BTreeMap::<SmolStr, counts::Row>::new();
-    for row in pages.iter().flat_map(|page| &page.rows) {
+    for row in snapshots.iter().flat_map(|snapshot| &snapshot.rows) {
         match rows.get_mut(&row.service) {
             Some(sum) => add(sum, row),
             None => drop(rows.insert(row.service.clone(), row.clone())),
@@ -62,29 +64,30 @@
     }
     let mut lines: Vec<Line> = rows.values().flat_map(lines).collect();
     lines.sort_by(|a, b| {
-        let worse = a.alert.cmp(&b.alert).then(a.budget_left.total_cmp(&b.budget_left));
-        worse.then_with(|| (&a.service, a.objective).cmp(&(&b.service, b.objective)))
+        let severity = a.alert.cmp(&b.alert).then(a.budget_left.total_cmp(&b.budget_left));
+        severity.then_with(|| (&a.service, a.objective).cmp(&(&b.service, b.objective)))
     });
     Report {
-        coverage: whole::Coverage::new(pages.len(), missing),
-        since_unix_ms: pages.iter().map(|page| page.since_unix_ms).max().unwrap_or(0),
+        coverage: whole::Coverage::new(snapshots.len(), missing),
+        since_unix_ms: snapshots.iter().map(|s| s.since_unix_ms).max().unwrap_or(0),
         lines,
     }
 }
 
 fn add(sum: &mut counts::Row, row: &counts::Row) {
-    for (mine, theirs) in sum.windows.iter_mut().zip(&row.windows) {
-        mine.add(theirs);
+    for (window, other) in sum.windows.iter_mut().zip(&row.windows) {
+        window.add(other);
     }
     sum.period.add(&row.period);
 }
 
 fn lines(row: &counts::Row) -> [Line; 2] {
-    let windows = |of: fn(&burn::Sums) -> Ratio| row.windows.each_ref().map(of);
+    let windows = |ratio: fn(&burn::Sums) -> Ratio| row.windows.each_ref().map(ratio);
     [
         line(row, Objective::Availability, row.availability, windows(|s| s.availability))
-            .period(row.period.availability),
-        line(row, Objective::Latency, row.share, windows(|s| s.latency)).period(row.period.latency),
+            .with_period(row.period.availability),
+        line(row, Objective::Latency, row.share, windows(|s| s.latency))
+            .with_period(row.period.latency),
     ]
 }
 
@@ -96,8 +99,8 @@
 ) -> Line {
     let burn = windows.map(|ratio| rate(ratio, target));
     let fires = |rule: &&burn::Rule| {
-        let over = |place: usize| burn.get(place).is_some_and(|&burn| burn > rule.rate);
-        over(rule.short) && over(rule.long)
+        let exceeds = |window: usize| burn.get(window).is_some_and(|&burn| burn > rule.rate);
+        exceeds(rule.short) && exceeds(rule.long)
     };
     Line {
         service: row.service.clone(),
@@ -112,12 +115,14 @@
 }
 
 impl Line {
-    fn period(self, period: Ratio) -> Self {
+    /// Sets the counts of the period and the remaining budget that follows from them.
+    fn with_period(self, period: Ratio) -> Self {
         Self { budget_left: 1.0 - rate(period, self.target), period, ..self }
     }
 }
 
-/// How many times faster than allowed the budget is spent.
+/// Burn rate: how many times faster than allowed the error budget is spent. 1 spends it in exactly
+/// its period.
 fn rate(ratio: Ratio, target: f64) -> f64 {
     let allowed = (1.0 - target).max(f64::EPSILON);
     ratio.share() / allowed
