--- a/soak/src/judge.rs
+++ b/soak/src/judge.rs
@@ -116,7 +116,7 @@
         runs
     }
 
-    fn ran(&self, told: &load::Told) -> bool {
+    fn ran(&self, told: &load::TryResult) -> bool {
         let key = told.key.as_ref().is_some_and(|key| self.keys.contains_key(key));
         key || self.ids.contains_key(&told.id)
     }
@@ -125,7 +125,7 @@
 /// What was broken in a round of `series`.
 pub fn judge(
     series: &series::Series,
-    told: &[load::Told],
+    told: &[load::TryResult],
     records: &[record::Record],
 ) -> Vec<Breach> {
     let runs = Runs::new(records);
@@ -153,7 +153,7 @@
     ids.chain(keys.map(|(key, count)| Breach::Twice { id: (*key).clone(), runs: *count }))
 }
 
-fn truth(runs: &Runs<'_>, told: &load::Told) -> Option<Breach> {
+fn truth(runs: &Runs<'_>, told: &load::TryResult) -> Option<Breach> {
     let id = told.id.clone();
     match told.outcome {
         load::Outcome::Wrong => Some(Breach::Wrong { id }),
@@ -167,7 +167,7 @@
 
 /// A request that crosses the close of its idle connection was read by nobody, and its caller may
 /// send it again; one that ran was read.
-fn cut(runs: &Runs<'_>, told: &load::Told) -> Option<Breach> {
+fn cut(runs: &Runs<'_>, told: &load::TryResult) -> Option<Breach> {
     let ran = runs.ran(told);
     let cut = match told.outcome {
         load::Outcome::Broken => ran,
@@ -184,7 +184,7 @@
 }
 
 /// A round in which less than a tenth is served shows nothing.
-fn unserved(told: &[load::Told]) -> Option<Breach> {
+fn unserved(told: &[load::TryResult]) -> Option<Breach> {
     let served = told.iter().filter(|t| t.outcome == load::Outcome::Served).count() as u64;
     let made = told.len() as u64;
     (served * 10 < made || made == 0).then_some(Breach::Unserved { served, made })
--- a/soak/src/round.rs
+++ b/soak/src/round.rs
@@ -54,9 +54,9 @@
     for host in 0..shape.hosts {
         records.push(act::record(&fleet, host).await?);
     }
-    breaches.extend(judge::judge(&series, &tally.told, &records));
-    let served = tally.told.iter().filter(|t| t.outcome == load::Outcome::Served).count();
-    Ok(Report { series, calls: tally.told.len(), served, breaches })
+    breaches.extend(judge::judge(&series, &tally.results, &records));
+    let served = tally.results.iter().filter(|t| t.outcome == load::Outcome::Served).count();
+    Ok(Report { series, calls: tally.results.len(), served, breaches })
 }
 
 /// Waits until every node is ready and runs `version` or a later one; gives those that don't.
--- a/soak/tests/promises.rs
+++ b/soak/tests/promises.rs
@@ -12,8 +12,8 @@
 
 const SHAPE: series::Shape = series::Shape { hosts: 5, length_ms: 8000 };
 
-fn told(id: &str, outcome: load::Outcome) -> load::Told {
-    load::Told {
+fn told(id: &str, outcome: load::Outcome) -> load::TryResult {
+    load::TryResult {
         id: SmolStr::new(id),
         key: None,
         outcome,
--- a/src/bench/fleet/mod.rs
+++ b/src/bench/fleet/mod.rs
@@ -19,7 +19,7 @@
 //! let mut fleet = fleet::Fleet::start(plan).await?;
 //! fleet.kill(0, fleet::Part::Node)?;
 //! fleet.restart(0, fleet::Part::Node)?;
-//! fleet.ready(fleet::PATIENCE).await?;
+//! fleet.wait_ready(fleet::READY_TIMEOUT).await?;
 //! # Ok(())
 //! # }
 //! ```
@@ -50,9 +50,9 @@
 pub use stat::Stat;
 
 /// Most processes a fleet may have.
-pub const MOST: usize = 420;
+pub const MAX_PROCESSES: usize = 420;
 /// How long a whole fleet is usually given to get where it should be.
-pub const PATIENCE: time::Duration = time::Duration::from_secs(30);
+pub const READY_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
 /// Which process of a host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -67,7 +67,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The plan asks for too many processes.
-    #[error("the plan has {0} processes, more than {MOST}")]
+    #[error("the plan has {0} processes, more than {MAX_PROCESSES}")]
     TooMany(usize),
     /// No range of loopback addresses is free.
     #[error("no range of loopback addresses is free")]
--- a/src/bench/fleet/run.rs
+++ b/src/bench/fleet/run.rs
@@ -51,15 +51,15 @@
     /// configuration file of the plan is published in between.
     pub async fn start(plan: plan::Plan) -> Result<Self, fleet::Error> {
         let count = plan.process_count();
-        if count > fleet::MOST {
+        if count > fleet::MAX_PROCESSES {
             return Err(fleet::Error::TooMany(count));
         }
         let mut fleet = Self::prepare(plan)?;
         fleet.start_log()?;
-        fleet.answers(fleet.log_addr(), fleet::PATIENCE).await?;
+        fleet.wait_listening(fleet.log_addr(), fleet::READY_TIMEOUT).await?;
         if fleet.plan.faults {
             fleet.start_faults()?;
-            fleet.answers(fleet.fault_addr(), fleet::PATIENCE).await?;
+            fleet.wait_listening(fleet.fault_addr(), fleet::READY_TIMEOUT).await?;
         }
         if let Some(file) = fleet.plan.configuration.clone() {
             let done = fleet.publish(&file, 0, &[]).await?;
@@ -70,7 +70,7 @@
         for index in 0..fleet.hosts.len() {
             fleet.start_host(index)?;
         }
-        fleet.ready(fleet::PATIENCE).await?;
+        fleet.wait_ready(fleet::READY_TIMEOUT).await?;
         Ok(fleet)
     }
 
@@ -181,7 +181,7 @@
     /// Adds a host without an upstream and starts its node; gives its index.
     pub fn add_host(&mut self) -> Result<usize, fleet::Error> {
         let count = self.plan.process_count() + 1;
-        if count > fleet::MOST {
+        if count > fleet::MAX_PROCESSES {
             return Err(fleet::Error::TooMany(count));
         }
         self.plan.plain += 1;
@@ -195,7 +195,7 @@
     }
 
     /// Waits until every node that runs is ready; an error when one has ended by itself.
-    pub async fn ready(&mut self, limit: time::Duration) -> Result<(), fleet::Error> {
+    pub async fn wait_ready(&mut self, limit: time::Duration) -> Result<(), fleet::Error> {
         let until = tokio::time::Instant::now() + limit;
         for index in 0..self.hosts.len() {
             self.ready_host(index, until).await?;
@@ -225,7 +225,7 @@
     }
 
     /// Waits until log stand-in or fault proxy takes connections at `address`.
-    pub async fn answers(
+    pub async fn wait_listening(
         &mut self,
         address: net::SocketAddr,
         limit: time::Duration,
--- a/src/bench/fleet/signals.rs
+++ b/src/bench/fleet/signals.rs
@@ -30,7 +30,7 @@
     }
 
     /// Waits until a process that was asked to end has ended, and gives its exit code.
-    pub async fn ended(
+    pub async fn wait_exit(
         &mut self,
         index: usize,
         part: fleet::Part,
@@ -52,7 +52,7 @@
     }
 
     /// Whether a process has ended by itself, or was asked to.
-    pub fn has_ended(&mut self, index: usize, part: fleet::Part) -> Result<bool, fleet::Error> {
+    pub fn has_exited(&mut self, index: usize, part: fleet::Part) -> Result<bool, fleet::Error> {
         let process = self.slot(index, part)?.as_mut().ok_or(fleet::Error::NoProcess(index))?;
         Ok(process.ended()?.is_some())
     }
--- a/src/bench/load/call.rs
+++ b/src/bench/load/call.rs
@@ -42,7 +42,7 @@
 
 /// What a caller was told about one try.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Told {
+pub struct TryResult {
     /// Request id of the try.
     pub id: SmolStr,
     /// Idempotency key.
@@ -75,7 +75,7 @@
 
 impl Try<'_> {
     /// Sends it and says what the caller was told.
-    pub async fn make(self, client: &client::Client) -> Told {
+    pub async fn make(self, client: &client::Client) -> TryResult {
         let limit = time::Duration::from_millis(self.flow.deadline_ms) + MARGIN;
         let body = body(&self.id, self.flow.body);
         let Ok(request) = self.request(client.address(self.target), body.clone()) else {
@@ -140,8 +140,8 @@
         }
     }
 
-    fn told(&self, outcome: Outcome, status: u16, reason: SmolStr) -> Told {
-        Told {
+    fn told(&self, outcome: Outcome, status: u16, reason: SmolStr) -> TryResult {
+        TryResult {
             id: self.id.clone(),
             key: self.key.clone(),
             outcome,
--- a/src/bench/load/drive.rs
+++ b/src/bench/load/drive.rs
@@ -111,7 +111,7 @@
     let mut calls = task::JoinSet::new();
     while let Some(arrival) = receiver.recv().await {
         while calls.try_join_next().is_some() {}
-        if calls.len() >= plan.most {
+        if calls.len() >= plan.max_in_flight {
             shared.tally.borrow_mut().dropped(arrival.flow);
             continue;
         }
@@ -152,7 +152,7 @@
     key: &SmolStr,
     number: u32,
     since: time::Instant,
-) -> (Vec<call::Told>, time::Duration) {
+) -> (Vec<call::TryResult>, time::Duration) {
     let mut told = Vec::new();
     for turn in 0..flow.tries.max(1) {
         if turn > 0 {
--- a/src/bench/load/mod.rs
+++ b/src/bench/load/mod.rs
@@ -21,7 +21,7 @@
 mod tests;
 
 pub use call::Outcome;
-pub use call::Told;
+pub use call::TryResult;
 pub use drive::Error;
 pub use drive::drive;
 pub use drive::run_blocking;
--- a/src/bench/load/plan.rs
+++ b/src/bench/load/plan.rs
@@ -122,7 +122,8 @@
     /// Seed of all chance.
     pub seed: u64,
     /// Most calls in flight in each thread; those beyond are counted as dropped.
-    pub most: usize,
+    #[serde(rename = "most")]
+    pub max_in_flight: usize,
     /// Threads that share the rates.
     pub threads: usize,
     /// Whether what callers were told is kept, call by call.
@@ -137,7 +138,7 @@
             seconds: 10.0,
             warmup: 0.0,
             seed: 0,
-            most: 5000,
+            max_in_flight: 5000,
             threads: 1,
             keep: false,
         }
@@ -195,8 +196,8 @@
     }
 
     /// Most calls in flight in each thread.
-    pub fn most(mut self, most: usize) -> Self {
-        self.most = most;
+    pub fn max_in_flight(mut self, most: usize) -> Self {
+        self.max_in_flight = most;
         self
     }
 
--- a/src/bench/load/tally.rs
+++ b/src/bench/load/tally.rs
@@ -80,7 +80,7 @@
     /// In the order of the plan's flows.
     pub counts: Vec<Count>,
     /// What callers were told, if the plan keeps it.
-    pub told: Vec<call::Told>,
+    pub results: Vec<call::TryResult>,
     keep: bool,
 }
 
@@ -88,7 +88,7 @@
     /// Empty counts of the plan's flows.
     pub fn new(plan: &plan::Plan) -> Result<Self, hdrhistogram::CreationError> {
         let counts = plan.flows.iter().map(Count::new).collect::<Result<_, _>>()?;
-        Ok(Self { counts, told: Vec::new(), keep: plan.keep })
+        Ok(Self { counts, results: Vec::new(), keep: plan.keep })
     }
 
     /// Counts a call that was due and not sent.
@@ -98,7 +98,12 @@
     }
 
     /// Counts a call that took `latency` over `tries`; the last of them is final.
-    pub(super) fn call(&mut self, flow: usize, tries: Vec<call::Told>, latency: time::Duration) {
+    pub(super) fn call(
+        &mut self,
+        flow: usize,
+        tries: Vec<call::TryResult>,
+        latency: time::Duration,
+    ) {
         let count = &mut self.counts[flow];
         count.due += 1;
         count.tries += tries.len() as u64;
@@ -115,7 +120,7 @@
             }
         }
         if self.keep {
-            self.told.extend(tries);
+            self.results.extend(tries);
         }
     }
 
@@ -130,7 +135,7 @@
             let _same_bounds = own.served.add(&other.served);
             let _same_bounds = own.refused.add(&other.refused);
         }
-        self.told.extend(other.told);
+        self.results.extend(other.results);
     }
 
     /// Calls of all flows that ended in `outcome`.
--- a/src/bench/load/tests.rs
+++ b/src/bench/load/tests.rs
@@ -115,7 +115,7 @@
     let tally = load::drive(plan).await.unwrap();
     let due: u64 = tally.counts.iter().map(|c| c.due).sum();
     assert_eq!(tally.of(load::Outcome::Served), due);
-    let ids: collections::HashSet<_> = tally.told.iter().map(|t| t.id.clone()).collect();
+    let ids: collections::HashSet<_> = tally.results.iter().map(|t| t.id.clone()).collect();
     assert_eq!(ids.len() as u64, due);
     let record = upstream.record();
     assert!(ids.iter().all(|id| record.runs[id].starts == 1));
@@ -138,7 +138,7 @@
     let tally = load::drive(plan).await.unwrap();
     assert_eq!(tally.of(load::Outcome::Connect), tally.counts[0].due);
     assert_eq!(tally.counts[0].tries, 3 * tally.counts[0].due);
-    let none = load::Plan::new(nowhere()).flow(flow).seconds(0.5).most(0);
+    let none = load::Plan::new(nowhere()).flow(flow).seconds(0.5).max_in_flight(0);
     let tally = load::drive(none).await.unwrap();
     assert_eq!(tally.counts[0].dropped, tally.counts[0].due);
 }
--- a/src/cli/local.rs
+++ b/src/cli/local.rs
@@ -10,7 +10,7 @@
 use crate::cli::node;
 use crate::configs;
 use crate::host;
-use crate::standin::small;
+use crate::standin::local_mesh;
 
 /// Arguments of `dandelionspool local`.
 #[derive(Bpaf, Clone, Debug)]
@@ -36,25 +36,25 @@
 
 async fn serve(settings: configs::local::Local, base: &path::Path) -> Result<(), exit::Failure> {
     let mut signals = node::Signals::new().map_err(|e| exit::Failure::Refused(e.into()))?;
-    let small = small::Small::start(settings, base).await.map_err(failure)?;
+    let small = local_mesh::LocalMesh::start(settings, base).await.map_err(failure)?;
     explain(&small, &base.join("FILE"));
     small.run(signals.next()).await.map_err(failure)
 }
 
-fn failure(error: small::Error) -> exit::Failure {
+fn failure(error: local_mesh::Error) -> exit::Failure {
     match error {
-        small::Error::File(..) | small::Error::Invalid(..) | small::Error::Misfit(..) => {
-            exit::Failure::Input(error.into())
-        }
-        small::Error::Listen(..) | small::Error::Node(..) | small::Error::Refused(_) => {
-            exit::Failure::Refused(error.into())
-        }
-        small::Error::Publish(..) => exit::Failure::Unreachable(error.into()),
+        local_mesh::Error::File(..)
+        | local_mesh::Error::Invalid(..)
+        | local_mesh::Error::Mismatch(..) => exit::Failure::Input(error.into()),
+        local_mesh::Error::Listen(..)
+        | local_mesh::Error::Node(..)
+        | local_mesh::Error::Refused(_) => exit::Failure::Refused(error.into()),
+        local_mesh::Error::Publish(..) => exit::Failure::Unreachable(error.into()),
     }
 }
 
 /// Says how to call the mesh, publish to it and watch it.
-fn explain(small: &small::Small, file: &path::Path) {
+fn explain(small: &local_mesh::LocalMesh, file: &path::Path) {
     let (log, version) = (small.log, small.version);
     println!("{} hosts start; version {version} is published", small.hosts.len());
     for host in &small.hosts {
--- a/src/standin/small.rs
+++ b/src/standin/local_mesh.rs
@@ -51,7 +51,7 @@
     Invalid(path::PathBuf, fault::Faults),
     /// The settings name what the configuration does not have.
     #[error("the settings do not fit the configuration:\n{0}")]
-    Misfit(fault::Faults),
+    Mismatch(fault::Faults),
     /// An address can't be bound.
     #[error("can't listen on {0}")]
     Listen(net::SocketAddr, #[source] io::Error),
@@ -68,7 +68,7 @@
 
 /// A running small mesh.
 #[derive(Debug)]
-pub struct Small {
+pub struct LocalMesh {
     /// Where the log stand-in listens.
     pub log: net::SocketAddr,
     /// The version published at the start.
@@ -83,13 +83,13 @@
 
 type Running = task::JoinHandle<Result<(), duty::Error>>;
 
-impl Small {
+impl LocalMesh {
     /// Starts everything that `settings` describe; `base` is the folder of the settings file.
     pub async fn start(settings: configs::local::Local, base: &path::Path) -> Result<Self, Error> {
         let file = base.join(&settings.configuration);
         let body = std::fs::read(&file).map_err(|e| Error::File(file.clone(), e))?;
         let mesh = mesh::check::check(&body).map_err(|f| Error::Invalid(file, f))?;
-        let hosts = settings.hosts(&mesh).map_err(Error::Misfit)?;
+        let hosts = settings.hosts(&mesh).map_err(Error::Mismatch)?;
         let server = serve_log(&settings.log).await?;
         let version = publish(server.address(), body.into()).await?;
         let mut small = Self {
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -3,6 +3,6 @@
 mod accept;
 pub mod fault;
 pub mod http;
+pub mod local_mesh;
 pub mod log;
-pub mod small;
 pub mod upstream;
--- a/tests/failures/bed.rs
+++ b/tests/failures/bed.rs
@@ -130,7 +130,7 @@
 }
 
 /// Checks what callers were told against what the upstreams ran.
-pub fn check_truth(told: &[load::Told], records: &[record::Record]) {
+pub fn check_truth(told: &[load::TryResult], records: &[record::Record]) {
     let mut starts: collections::HashMap<&SmolStr, u32> = collections::HashMap::new();
     let mut keys: collections::HashMap<&SmolStr, u32> = collections::HashMap::new();
     let mut places: collections::HashMap<&SmolStr, Vec<usize>> = collections::HashMap::new();
@@ -162,6 +162,6 @@
     assert!(unran.is_none(), "served without a run: {unran:?}");
 }
 
-fn ran_by_key(told: &load::Told, keys: &collections::HashMap<&SmolStr, u32>) -> bool {
+fn ran_by_key(told: &load::TryResult, keys: &collections::HashMap<&SmolStr, u32>) -> bool {
     told.key.as_ref().is_some_and(|key| keys.contains_key(key))
 }
--- a/tests/failures/calls.rs
+++ b/tests/failures/calls.rs
@@ -114,7 +114,7 @@
     let (order, browse) = (&tally.counts[0], &tally.counts[1]);
     println!("orders: {:?} {:?} in {} tries", order.outcomes, order.reasons, order.tries);
     println!("browses: {:?} {:?}", browse.outcomes, browse.reasons);
-    bed::check_truth(&tally.told, &records);
+    bed::check_truth(&tally.results, &records);
     assert!(order.tries >= 10_000, "{} tries", order.tries);
     assert!(order.of(load::Outcome::Served) >= 2000, "{:?}", order.outcomes);
     let hosts: Vec<usize> = (0..fleet.hosts().len()).collect();
--- a/tests/failures/crashes.rs
+++ b/tests/failures/crashes.rs
@@ -83,7 +83,7 @@
     while !until() {
         let now = time::Instant::now();
         for (index, gone) in gone.iter_mut().enumerate() {
-            if gone.is_none() && fleet.has_ended(index, fleet::Part::Upstream).unwrap() {
+            if gone.is_none() && fleet.has_exited(index, fleet::Part::Upstream).unwrap() {
                 *gone = Some(now);
                 ends.push(now);
             }
--- a/tests/failures/mesh.rs
+++ b/tests/failures/mesh.rs
@@ -83,7 +83,7 @@
         fleet.restart(*index, fleet::Part::Node).unwrap();
     }
     let added = fleet.add_host().unwrap();
-    fleet.ready(bed::LIMIT).await.unwrap();
+    fleet.wait_ready(bed::LIMIT).await.unwrap();
     let all: Vec<usize> = (0..=added).collect();
     bed::until_version(&fleet, &all, version).await;
     fleet.log_faults(&json!({})).await.unwrap();
--- a/tests/failures/stops.rs
+++ b/tests/failures/stops.rs
@@ -33,7 +33,7 @@
     for count in &tally.counts {
         println!("{}: {:?} {:?}", count.name, count.outcomes, count.reasons);
     }
-    let cut = tally.told.iter().find(|told| {
+    let cut = tally.results.iter().find(|told| {
         !matches!(
             told.outcome,
             load::Outcome::Served | load::Outcome::NotRun | load::Outcome::Connect
@@ -54,13 +54,13 @@
     for stopped in [0, entry, 1] {
         tokio::time::sleep(time::Duration::from_secs(2)).await;
         fleet.terminate(stopped, fleet::Part::Node).unwrap();
-        let code = fleet.ended(stopped, fleet::Part::Node, bed::LIMIT).await.unwrap();
+        let code = fleet.wait_exit(stopped, fleet::Part::Node, bed::LIMIT).await.unwrap();
         assert_eq!(code, Some(0));
         fleet.restart(stopped, fleet::Part::Node).unwrap();
     }
     let tally = load.await.unwrap().unwrap();
     let records = bed::records(&fleet).await;
-    bed::check_truth(&tally.told, &records);
+    bed::check_truth(&tally.results, &records);
     check_no_cut(&tally);
 }
 
@@ -78,7 +78,7 @@
     let after = left.unix_ms.saturating_sub(left.drain_unix_ms.unwrap());
     assert!(left.starts > 0);
     assert!(after <= LEAVE_MS, "new work {after} ms after the drain");
-    let code = fleet.ended(1, fleet::Part::Upstream, bed::LIMIT).await.unwrap();
+    let code = fleet.wait_exit(1, fleet::Part::Upstream, bed::LIMIT).await.unwrap();
     assert_eq!(code, Some(0));
     check_no_cut(&tally);
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -70,7 +70,7 @@
     fleet.restart(0, fleet::Part::Upstream).unwrap();
     until_answers(&fleet, 0).await;
     fleet.terminate(1, fleet::Part::Upstream).unwrap();
-    assert_eq!(fleet.ended(1, fleet::Part::Upstream, LIMIT).await.unwrap(), Some(0));
+    assert_eq!(fleet.wait_exit(1, fleet::Part::Upstream, LIMIT).await.unwrap(), Some(0));
 }
 
 #[tokio::test]
@@ -101,12 +101,12 @@
 #[case::one_more(210, false)]
 fn a_plan_is_bounded(#[case] hosts: usize, #[case] fits: bool) {
     let plan = fleet::Plan::new(programs()).group(fleet::Group::new("shop", hosts));
-    assert_eq!(plan.process_count() <= fleet::MOST, fits);
+    assert_eq!(plan.process_count() <= fleet::MAX_PROCESSES, fits);
 }
 
 #[tokio::test]
 async fn too_many_processes_are_refused() {
-    let plan = plan().hosts(1).group(fleet::Group::new("desk", fleet::MOST));
+    let plan = plan().hosts(1).group(fleet::Group::new("desk", fleet::MAX_PROCESSES));
     let error = fleet::Fleet::start(plan).await.unwrap_err();
     assert!(matches!(error, fleet::Error::TooMany(_)), "{error}");
 }
