--- a/src/bench/load/call.rs
+++ b/src/bench/load/call.rs
@@ -132,7 +132,7 @@
     fn whole(&self, body: &[u8], sent: &[u8]) -> bool {
         match (answer::check(body, &self.id, sent), &self.key) {
             (Ok(_), _) => true,
-            (Err(answer::Fault::Crossed(id)), Some(key)) => {
+            (Err(answer::Fault::WrongRequest(id)), Some(key)) => {
                 let own = id.rsplit_once('.').is_some_and(|(of, _)| of == key.as_str());
                 own && answer::check(body, &id, sent).is_ok()
             }
--- a/src/standin/accept.rs
+++ b/src/standin/accept.rs
@@ -1,4 +1,4 @@
-//! Connections of one port.
+//! Accepts HTTP/1.1 connections on one port and closes them gracefully.
 
 use std::convert::Infallible;
 use std::error;
@@ -15,10 +15,10 @@
 use tokio::task;
 
 /// How long connections may take to end once the port is closed.
-const LIMIT: time::Duration = time::Duration::from_secs(2);
+const SHUTDOWN_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// Accepts connections until `stop` is true, then lets each end after its current answer. A
-/// connection is taken only while `enter` gives it a guard, which lives as long as it does.
+/// Accepts connections until `stop` is true, then lets each end after its current response.
+/// `enter` returns the guard that a new connection holds until it ends; `None` closes it at once.
 pub async fn serve<E, G, H, F, B>(
     listener: net::TcpListener,
     stop: watch::Receiver<bool>,
@@ -46,12 +46,12 @@
                 tasks.spawn(connection(stream, handle.clone(), stop.clone(), guard));
             }
             (Ok(_), None) => {}
-            (Err(error), _) => pause_after(&error).await,
+            (Err(error), _) => back_off(&error).await,
         }
     }
     drop(listener);
     let all = async { while tasks.join_next().await.is_some() {} };
-    let _ended = tokio::time::timeout(LIMIT, all).await;
+    let _ended = tokio::time::timeout(SHUTDOWN_TIMEOUT, all).await;
 }
 
 async fn connection<G, H, F, B>(
@@ -80,8 +80,8 @@
     drop(guard);
 }
 
-/// Waits a little when the process has no more descriptors.
-async fn pause_after(error: &io::Error) {
+/// Pauses after a failed accept, so that a lack of file descriptors causes no busy loop.
+async fn back_off(error: &io::Error) {
     log::warn!("can't accept a connection: {error}");
     tokio::time::sleep(time::Duration::from_millis(50)).await;
 }
--- a/src/standin/fault/control.rs
+++ b/src/standin/fault/control.rs
@@ -1,4 +1,4 @@
-//! Control of the proxy over HTTP.
+//! The HTTP interface that shows the proxy's counters and changes its rules.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -8,25 +8,25 @@
 use hyper::body;
 use tokio::sync::watch;
 
-use crate::standin::fault::knobs;
+use crate::standin::fault::live;
 use crate::standin::fault::rules;
 
-/// Largest control request, in bytes.
-const MOST: usize = 1024 * 1024;
+/// Maximum size of the body of a control request.
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// What the control port reaches.
+/// State that the control port reads and changes.
 #[derive(Clone, Debug)]
 pub struct Control {
     /// The rules in force.
     pub rules: watch::Sender<Arc<Vec<rules::Rule>>>,
-    /// Counters.
-    pub counts: Arc<knobs::Counts>,
+    /// What the forwarders have counted.
+    pub counts: Arc<live::Counts>,
 }
 
 type Answer = http::Response<Full<Bytes>>;
 
-/// Answers `GET /counts`, `GET /rules` and `POST /rules` with a list of [`rules::Rule`], which
-/// replaces the one before.
+/// Answers `GET /counts`, `GET /rules` and `POST /rules`. The body of the last is a list of
+/// [`rules::Rule`], which replaces the rules in force.
 pub async fn serve(
     control: Control,
     request: http::Request<body::Incoming>,
@@ -44,7 +44,7 @@
 }
 
 async fn replace(control: &Control, body: body::Incoming) -> Answer {
-    let Ok(body) = Limited::new(body, MOST).collect().await else {
+    let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
         return status(http::StatusCode::BAD_REQUEST, "the body can't be read\n".into());
     };
     match serde_json::from_slice::<Vec<rules::Rule>>(&body.to_bytes()) {
--- a/src/standin/fault/knobs.rs
+++ b/src/standin/fault/live.rs
@@ -1,4 +1,4 @@
-//! What each forwarder follows: the rules in force and the counters.
+//! State that the forwarders share: the rules in force, the faults of a connection, counters.
 
 use std::sync::Arc;
 use std::sync::atomic;
@@ -16,13 +16,13 @@
 pub struct Counts {
     /// Datagrams received.
     pub datagrams: atomic::AtomicU64,
-    /// Datagrams lost on purpose.
+    /// Datagrams dropped by a rule.
     pub lost: atomic::AtomicU64,
-    /// Datagrams sent twice on purpose.
+    /// Datagrams duplicated by a rule.
     pub twice: atomic::AtomicU64,
-    /// Connections taken.
+    /// Connections accepted.
     pub connections: atomic::AtomicU64,
-    /// Connections reset or refused on purpose.
+    /// Connections reset, by a rule or because one side failed.
     pub cuts: atomic::AtomicU64,
 }
 
@@ -45,41 +45,41 @@
     }
 }
 
-/// The rules in force as a forwarder sees them.
+/// Receives the rules in force and their changes.
 pub type Rules = watch::Receiver<Arc<Vec<rules::Rule>>>;
 
-/// The faults of one connection, changed while it lives.
+/// The faults of one connection, which follow changes of the rules while it is open.
 #[derive(Debug)]
-pub struct Knobs {
-    way: rules::Way,
+pub struct LiveFaults {
+    route: rules::Route,
     rules: Rules,
     /// Delay of each write.
     pub delay: Arc<delayer::DynamicDuration>,
-    /// Bytes a second.
+    /// Maximum rate of each direction in bytes per second; 0 is unlimited.
     pub rate: Arc<throttler::DynamicRate>,
     faults: watch::Sender<rules::Faults>,
 }
 
-impl Knobs {
-    /// The faults on `way` by `rules`.
-    pub fn new(way: rules::Way, mut rules: Rules) -> Self {
-        let first = rules::faults(&rules.borrow_and_update(), way);
+impl LiveFaults {
+    /// The faults that `rules` give for `route`.
+    pub fn new(route: rules::Route, mut rules: Rules) -> Self {
+        let first = rules::faults(&rules.borrow_and_update(), route);
         let delay = delayer::DynamicDuration::new(time::Duration::ZERO);
         let rate = throttler::DynamicRate::new(0);
-        let knobs = Self { way, rules, delay, rate, faults: watch::Sender::new(first) };
-        knobs.set(first);
-        knobs
+        let live = Self { route, rules, delay, rate, faults: watch::Sender::new(first) };
+        live.set(first);
+        live
     }
 
-    /// Faults in force, to be waited on.
+    /// Receives the faults in force and their changes.
     pub fn faults(&self) -> watch::Receiver<rules::Faults> {
         self.faults.subscribe()
     }
 
-    /// Follows the rules until the way is cut.
+    /// Applies each change of the rules; returns when they cut the route or the proxy stops.
     pub async fn until_cut(mut self) {
         loop {
-            let now = rules::faults(&self.rules.borrow_and_update(), self.way);
+            let now = rules::faults(&self.rules.borrow_and_update(), self.route);
             self.set(now);
             if now.cut || self.rules.changed().await.is_err() {
                 return;
--- a/src/standin/fault/mod.rs
+++ b/src/standin/fault/mod.rs
@@ -1,15 +1,15 @@
 //! A proxy that injects faults into TCP and UDP between the hosts of a mesh.
 //!
-//! It holds the addresses by which hosts know each other, while their nodes bind others
-//! ([`crate::configs::Node::bind`]). A datagram leaves from the address of the host that sent it,
-//! so that receivers who trust the source address are not misled. All hosts of a mesh therefore
-//! stand behind the same proxy.
+//! The proxy binds the addresses by which hosts know each other, and their nodes bind others
+//! ([`crate::configs::Node::bind`]). It forwards a datagram from the known address of the host that
+//! sent it, because receivers identify the sender by the source address. All hosts of a mesh must
+//! therefore be behind the same proxy.
 
 use std::io;
 use std::net;
 
 mod control;
-mod knobs;
+mod live;
 pub mod rules;
 mod server;
 mod tcp;
--- a/src/standin/fault/rules.rs
+++ b/src/standin/fault/rules.rs
@@ -1,4 +1,4 @@
-//! Which faults hold between which hosts.
+//! Rules that say which faults apply between which hosts.
 
 use std::net;
 use std::time;
@@ -6,13 +6,13 @@
 use rand::RngExt as _;
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong. The default is nothing.
+/// Faults to inject. The default is none.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
     /// Delay of each datagram and each write, in milliseconds.
     pub delay_ms: u64,
-    /// Most added to the delay of a datagram by chance, in milliseconds; reorders them.
+    /// Maximum random addition to a datagram's delay, in milliseconds; reorders datagrams.
     pub jitter_ms: u64,
     /// Share of datagrams lost, 0 to 1.
     pub loss: f64,
@@ -22,54 +22,53 @@
     pub cut: bool,
     /// Half-open: loses every datagram; connections stay open and carry nothing.
     pub hang: bool,
-    /// Most bytes a second on each direction of a connection; 0 is no bound.
+    /// Maximum bytes per second in each direction of a connection; 0 is unlimited.
     pub rate: usize,
-    /// Resets a connection once it has carried this many bytes back; 0 is never.
+    /// Resets a connection once this many bytes have gone back to the caller; 0 is never.
     pub cut_after: u64,
 }
 
-/// Faults for what goes from some hosts to others.
+/// Faults for the traffic from some hosts to others.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rule {
-    /// Base addresses of the hosts it comes from; empty is every one. Connections come from an
-    /// unknown host.
+    /// Base addresses of the sending hosts; empty matches all. The sender of a connection is never
+    /// known, so only an empty list matches it.
     pub from: Vec<net::SocketAddr>,
-    /// Base addresses of the hosts, or listening addresses of the links, it goes to; empty is
-    /// every one.
+    /// Base addresses of the receiving hosts, or listening addresses of links; empty matches all.
     pub to: Vec<net::SocketAddr>,
-    /// Ports it goes to, counted from the base port; empty is every one.
+    /// Destination ports as offsets from the base port; empty matches all.
     pub ports: Vec<u16>,
-    /// What goes wrong.
+    /// Faults that apply to this traffic.
     pub faults: Faults,
 }
 
-/// Where something comes from and goes to.
+/// Source and destination of a datagram or connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Way {
-    /// Base address of the host it comes from, if known.
+pub struct Route {
+    /// Base address of the sending host; `None` if unknown.
     pub from: Option<net::SocketAddr>,
-    /// Base address of the host, or listening address of the link.
+    /// Base address of the receiving host, or listening address of the link.
     pub to: net::SocketAddr,
-    /// Port, counted from the base port.
+    /// Destination port as an offset from the base port; 0 for a link.
     pub port: u16,
 }
 
 impl Rule {
-    fn matches(&self, way: Way) -> bool {
-        let from = self.from.is_empty() || way.from.is_some_and(|from| self.from.contains(&from));
-        let to = self.to.is_empty() || self.to.contains(&way.to);
-        from && to && (self.ports.is_empty() || self.ports.contains(&way.port))
+    fn matches(&self, route: Route) -> bool {
+        let from = self.from.is_empty() || route.from.is_some_and(|from| self.from.contains(&from));
+        let to = self.to.is_empty() || self.to.contains(&route.to);
+        from && to && (self.ports.is_empty() || self.ports.contains(&route.port))
     }
 }
 
-/// The faults on `way`: those of the first rule that matches.
-pub fn faults(rules: &[Rule], way: Way) -> Faults {
-    rules.iter().find(|rule| rule.matches(way)).map(|rule| rule.faults).unwrap_or_default()
+/// The faults on `route`: those of the first rule that matches.
+pub fn faults(rules: &[Rule], route: Route) -> Faults {
+    rules.iter().find(|rule| rule.matches(route)).map(|rule| rule.faults).unwrap_or_default()
 }
 
 impl Faults {
-    /// Delays after which copies of one datagram arrive; none when it is lost.
+    /// The delay of each copy of one datagram; empty when it is lost.
     pub fn copies<R: rand::Rng>(&self, rng: &mut R) -> Vec<time::Duration> {
         if self.cut || self.hang || rng.random_bool(self.loss.clamp(0.0, 1.0)) {
             return Vec::new();
--- a/src/standin/fault/server.rs
+++ b/src/standin/fault/server.rs
@@ -1,4 +1,4 @@
-//! The proxy as a server in this process.
+//! Binds the proxy's ports and runs its forwarders.
 
 use std::collections;
 use std::future;
@@ -17,7 +17,7 @@
 use crate::standin::fault::tcp;
 use crate::standin::fault::udp;
 
-/// What stands behind the proxy, built by chained setters.
+/// The hosts and links behind the proxy, built by chained setters.
 #[derive(Clone, Debug)]
 pub struct Options {
     control: net::SocketAddr,
@@ -27,25 +27,25 @@
 }
 
 impl Options {
-    /// A proxy for nothing yet, controlled at `control`.
+    /// A proxy without hosts and links, with its control port at `control`.
     pub fn new(control: net::SocketAddr) -> Self {
         Self { control, hosts: Vec::new(), links: Vec::new(), seed: 0 }
     }
 
-    /// A host known by the base address `known`, whose node binds the base address `bound`: all
-    /// its ports, TCP and UDP.
+    /// Adds a host known by the base address `known`, whose node binds the base address `bound`.
+    /// All its ports are forwarded, TCP and UDP.
     pub fn host(mut self, known: net::SocketAddr, bound: net::SocketAddr) -> Self {
         self.hosts.push((known, bound));
         self
     }
 
-    /// A link of TCP from the port `listen` to `target`.
+    /// Adds a link that forwards TCP connections from `listen` to `target`.
     pub fn link(mut self, listen: net::SocketAddr, target: net::SocketAddr) -> Self {
         self.links.push((listen, target));
         self
     }
 
-    /// Seed of all chance.
+    /// Seed of random losses, duplicates and delays.
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub struct Server {
     control: TcpListener,
-    links: Vec<(TcpListener, net::SocketAddr, rules::Way)>,
+    links: Vec<(TcpListener, net::SocketAddr, rules::Route)>,
     ports: Vec<Arc<udp::Port>>,
     seed: u64,
 }
@@ -67,21 +67,21 @@
         let control = listen(options.control).await?;
         let mut links = Vec::new();
         for (known, target) in &options.links {
-            let way = rules::Way { from: None, to: *known, port: 0 };
-            links.push((listen(*known).await?, *target, way));
+            let route = rules::Route { from: None, to: *known, port: 0 };
+            links.push((listen(*known).await?, *target, route));
         }
         let mut ports = Vec::new();
         for number in 0..host::PORT_COUNT {
             for (known, bound) in &options.hosts {
-                let way = rules::Way { from: None, to: *known, port: number };
-                links.push((listen(port(*known, number)).await?, port(*bound, number), way));
+                let route = rules::Route { from: None, to: *known, port: number };
+                links.push((listen(port(*known, number)).await?, port(*bound, number), route));
             }
-            ports.push(Arc::new(datagrams(&options, number).await?));
+            ports.push(Arc::new(bind_datagrams(&options, number).await?));
         }
         Ok(Self { control, links, ports, seed: options.seed })
     }
 
-    /// Where it takes control.
+    /// Address of the control port.
     pub fn control_address(&self) -> std::io::Result<net::SocketAddr> {
         self.control.local_addr()
     }
@@ -90,9 +90,9 @@
     pub async fn serve(self, stop: impl future::Future<Output = ()>) {
         let control = control::Control { rules: watch::Sender::default(), counts: Arc::default() };
         let mut tasks = task::JoinSet::new();
-        for (listener, target, way) in self.links {
+        for (listener, target, route) in self.links {
             let (rules, counts) = (control.rules.subscribe(), Arc::clone(&control.counts));
-            tasks.spawn(tcp::serve(listener, target, way, rules, counts));
+            tasks.spawn(tcp::serve(listener, target, route, rules, counts));
         }
         let mut seed = self.seed;
         for port in self.ports {
@@ -118,15 +118,15 @@
     bound.map(Arc::new).map_err(|e| fault::Error::Bind(address, e))
 }
 
-/// The sockets of the port `number` of every host.
-async fn datagrams(options: &Options, number: u16) -> Result<udp::Port, fault::Error> {
+/// Binds the UDP port `number` of every host, and a socket that sends for unknown senders.
+async fn bind_datagrams(options: &Options, number: u16) -> Result<udp::Port, fault::Error> {
     let mut hosts = collections::HashMap::new();
     for (known, bound) in &options.hosts {
         let socket = socket(port(*known, number)).await?;
         hosts.insert(port(*bound, number), udp::Host { base: *known, socket });
     }
     let any = net::SocketAddr::new(options.control.ip(), 0);
-    Ok(udp::Port { number, hosts, stranger: socket(any).await? })
+    Ok(udp::Port { number, hosts, unknown_sender: socket(any).await? })
 }
 
 fn port(base: net::SocketAddr, number: u16) -> net::SocketAddr {
--- a/src/standin/fault/tcp.rs
+++ b/src/standin/fault/tcp.rs
@@ -1,4 +1,4 @@
-//! Forwarding of connections.
+//! Forwards TCP connections with the faults of their route.
 
 use std::io;
 use std::net;
@@ -9,26 +9,26 @@
 use tokio::sync::watch;
 use tokio_netem::io::NetEmWriteExt as _;
 
-use crate::standin::fault::knobs;
+use crate::standin::fault::live;
 use crate::standin::fault::rules;
 
-/// Bytes read at once.
-const CHUNK: usize = 16 * 1024;
+/// Size of the read buffer of each direction.
+const CHUNK_BYTES: usize = 16 * 1024;
 
-/// Forwards connections that `listener` takes to `target`, for ever.
+/// Forwards each connection that `listener` accepts to `target`; never returns.
 pub async fn serve(
     listener: TcpListener,
     target: net::SocketAddr,
-    way: rules::Way,
-    rules: knobs::Rules,
-    counts: Arc<knobs::Counts>,
+    route: rules::Route,
+    rules: live::Rules,
+    counts: Arc<live::Counts>,
 ) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                knobs::Counts::add(&counts.connections);
-                let knobs = knobs::Knobs::new(way, rules.clone());
-                tokio::spawn(connection(stream, target, knobs, Arc::clone(&counts)));
+                live::Counts::add(&counts.connections);
+                let live = live::LiveFaults::new(route, rules.clone());
+                tokio::spawn(connection(stream, target, live, Arc::clone(&counts)));
             }
             Err(error) => {
                 log::warn!("can't accept a connection: {error}");
@@ -42,59 +42,60 @@
 async fn connection(
     inbound: TcpStream,
     target: net::SocketAddr,
-    knobs: knobs::Knobs,
-    counts: Arc<knobs::Counts>,
+    live: live::LiveFaults,
+    counts: Arc<live::Counts>,
 ) {
-    let mut faults = knobs.faults();
+    let mut faults = live.faults();
     if faults.borrow_and_update().cut {
-        knobs::Counts::add(&counts.cuts);
+        live::Counts::add(&counts.cuts);
         return reset(&inbound);
     }
-    let hangs = |faults: &rules::Faults| !faults.hang;
+    let flowing = |faults: &rules::Faults| !faults.hang;
     let mut opening = faults.clone();
     let connected = async {
-        let _open = opening.wait_for(hangs).await.map_err(|_| io::ErrorKind::BrokenPipe)?;
+        let _open = opening.wait_for(flowing).await.map_err(|_| io::ErrorKind::BrokenPipe)?;
         drop(_open);
         TcpStream::connect(target).await
     };
-    let (delay, rate) = (Arc::clone(&knobs.delay), Arc::clone(&knobs.rate));
-    let cut = knobs.until_cut();
+    let (delay, rate) = (Arc::clone(&live.delay), Arc::clone(&live.rate));
+    let cut = live.until_cut();
     tokio::pin!(cut);
     let outbound = tokio::select! {
         connected = connected => connected,
         () = cut.as_mut() => Err(io::ErrorKind::ConnectionAborted.into()),
     };
     let Ok(outbound) = outbound else {
-        knobs::Counts::add(&counts.cuts);
+        live::Counts::add(&counts.cuts);
         return reset(&inbound);
     };
     let _delay = inbound.set_nodelay(true);
     let _delay = outbound.set_nodelay(true);
     let (mut from_caller, to_caller) = inbound.into_split();
     let (mut from_target, to_target) = outbound.into_split();
-    let whole = {
+    let complete = {
         let writer = to_target.delay_writes_dyn(Arc::clone(&delay));
         let mut writer = writer.throttle_writes_dyn(Arc::clone(&rate));
         let there = pump(&mut from_caller, &mut writer, faults.clone(), false);
         let mut writer = to_caller.delay_writes_dyn(delay).throttle_writes_dyn(rate);
         let back = pump(&mut from_target, &mut writer, faults, true);
         let both = async { tokio::try_join!(there, back).is_ok() };
-        let whole = tokio::select! {
-            whole = both => whole,
+        let complete = tokio::select! {
+            complete = both => complete,
             () = cut.as_mut() => false,
         };
-        if !whole {
+        if !complete {
             reset(from_caller.as_ref());
             reset(from_target.as_ref());
         }
-        whole
+        complete
     };
-    if !whole {
-        knobs::Counts::add(&counts.cuts);
+    if !complete {
+        live::Counts::add(&counts.cuts);
     }
 }
 
-/// Copies until the end; an error when the connection has carried enough by its faults.
+/// Copies from `reader` to `writer` until the stream ends. With `back`, the direction towards the
+/// caller, it fails once `cut_after` bytes have been copied.
 async fn pump<R, W>(
     reader: &mut R,
     writer: &mut W,
@@ -105,7 +106,7 @@
     R: AsyncRead + Unpin,
     W: AsyncWrite + Unpin,
 {
-    let mut buffer = vec![0; CHUNK];
+    let mut buffer = vec![0; CHUNK_BYTES];
     let mut carried = 0;
     loop {
         let size = reader.read(&mut buffer).await?;
@@ -121,7 +122,7 @@
     }
 }
 
-/// Has the connection end with a reset once it is dropped.
+/// Makes the connection end with a reset (RST) when it is dropped.
 fn reset(stream: &TcpStream) {
     if let Err(error) = stream.set_zero_linger() {
         log::debug!("can't reset a connection: {error}");
--- a/src/standin/fault/tests.rs
+++ b/src/standin/fault/tests.rs
@@ -14,9 +14,9 @@
 use crate::standin::fault::rules;
 use crate::standin::http;
 
-const LIMIT: time::Duration = time::Duration::from_secs(10);
-/// Long enough to say that nothing comes.
-const NOTHING: time::Duration = time::Duration::from_millis(150);
+const TIMEOUT: time::Duration = time::Duration::from_secs(10);
+/// A test that receives nothing for this long concludes that nothing was forwarded.
+const QUIET_PERIOD: time::Duration = time::Duration::from_millis(150);
 
 fn host(last: u8) -> net::SocketAddr {
     net::SocketAddr::from(([127, 0, 0, last], 7100))
@@ -35,19 +35,19 @@
 #[case::to_other(cut(&[], &[host(1)], &[]), false)]
 #[case::port(cut(&[], &[], &[0, 2]), true)]
 #[case::port_other(cut(&[], &[], &[1]), false)]
-fn a_rule_matches_its_way(#[case] rule: rules::Rule, #[case] matches: bool) {
-    let way = rules::Way { from: Some(host(1)), to: host(2), port: 2 };
-    assert_eq!(rules::faults(&[rule], way).cut, matches);
+fn a_rule_matches_its_route(#[case] rule: rules::Rule, #[case] matches: bool) {
+    let route = rules::Route { from: Some(host(1)), to: host(2), port: 2 };
+    assert_eq!(rules::faults(&[rule], route).cut, matches);
 }
 
 #[test]
-fn a_sender_that_is_not_known_matches_no_rule_that_names_one() {
-    let way = rules::Way { from: None, to: host(2), port: 2 };
-    assert!(!rules::faults(&[cut(&[host(1)], &[], &[])], way).cut);
+fn an_unknown_sender_matches_no_rule_that_names_a_sender() {
+    let route = rules::Route { from: None, to: host(2), port: 2 };
+    assert!(!rules::faults(&[cut(&[host(1)], &[], &[])], route).cut);
 }
 
 #[test]
-fn shares_of_loss_and_copies_are_as_asked() {
+fn datagrams_are_lost_and_duplicated_at_the_configured_shares() {
     let faults = rules::Faults { loss: 0.2, twice: 0.1, ..Default::default() };
     let mut rng = SmallRng::seed_from_u64(7);
     let copies: Vec<usize> = (0..10_000).map(|_| faults.copies(&mut rng).len()).collect();
@@ -56,8 +56,9 @@
     assert!((700..900).contains(&share(2)), "{}", share(2));
 }
 
-/// The proxy for two hosts, run in the background; gives its control address, the addresses by
-/// which the hosts are known and those they bind. The third octets keep tests apart.
+/// Runs a proxy for two hosts in the background. Returns its control address, the known addresses
+/// of the hosts and those they bind. Each test has a `third` octet of its own, as tests run at
+/// the same time.
 async fn two_hosts(third: u8) -> (net::SocketAddr, [net::SocketAddr; 2], [net::SocketAddr; 2]) {
     let second = u8::try_from(std::process::id() % 100).unwrap() + 20;
     let at = |last| net::SocketAddr::from(([127, second, third, last], 6800));
@@ -70,39 +71,39 @@
     (control, known, bound)
 }
 
-async fn set(control: net::SocketAddr, faults: serde_json::Value) {
+async fn set_faults(control: net::SocketAddr, faults: serde_json::Value) {
     let rules = json!([{ "faults": faults }]);
     let method = ::http::Method::POST;
-    let answer = http::json(control, method, "/rules", &rules, LIMIT).await.unwrap();
+    let answer = http::json(control, method, "/rules", &rules, TIMEOUT).await.unwrap();
     assert!(answer.status().is_success(), "{answer:?}");
 }
 
 #[tokio::test]
-async fn a_datagram_comes_from_the_address_its_sender_is_known_by() {
+async fn a_datagram_is_forwarded_from_the_known_address_of_its_sender() {
     let (control, known, bound) = two_hosts(1).await;
     let one = UdpSocket::bind(bound[0]).await.unwrap();
     let two = UdpSocket::bind(bound[1]).await.unwrap();
     let mut buffer = [0; 16];
     one.send_to(b"ping", known[1]).await.unwrap();
-    let got = tokio::time::timeout(LIMIT, two.recv_from(&mut buffer)).await.unwrap().unwrap();
+    let got = tokio::time::timeout(TIMEOUT, two.recv_from(&mut buffer)).await.unwrap().unwrap();
     assert_eq!(got, (4, known[0]));
     two.send_to(b"pong", got.1).await.unwrap();
-    let got = tokio::time::timeout(LIMIT, one.recv_from(&mut buffer)).await.unwrap().unwrap();
+    let got = tokio::time::timeout(TIMEOUT, one.recv_from(&mut buffer)).await.unwrap().unwrap();
     assert_eq!(got, (4, known[1]));
-    set(control, json!({ "loss": 1.0 })).await;
+    set_faults(control, json!({ "loss": 1.0 })).await;
     one.send_to(b"ping", known[1]).await.unwrap();
-    assert!(tokio::time::timeout(NOTHING, two.recv_from(&mut buffer)).await.is_err());
-    set(control, json!({ "twice": 1.0 })).await;
+    assert!(tokio::time::timeout(QUIET_PERIOD, two.recv_from(&mut buffer)).await.is_err());
+    set_faults(control, json!({ "twice": 1.0 })).await;
     one.send_to(b"ping", known[1]).await.unwrap();
     for _ in 0..2 {
-        tokio::time::timeout(LIMIT, two.recv_from(&mut buffer)).await.unwrap().unwrap();
+        tokio::time::timeout(TIMEOUT, two.recv_from(&mut buffer)).await.unwrap().unwrap();
     }
-    let counts = http::get(control, "/counts", LIMIT).await.unwrap();
+    let counts = http::get(control, "/counts", TIMEOUT).await.unwrap();
     let counts: serde_json::Value = serde_json::from_slice(counts.body()).unwrap();
     assert_eq!((&counts["datagrams"], &counts["lost"]), (&json!(4), &json!(1)));
 }
 
-/// Connects through the proxy to an echo behind it.
+/// Starts an echo server on `bound` and connects to it through the proxy.
 async fn echo(known: net::SocketAddr, bound: net::SocketAddr) -> TcpStream {
     let listener = TcpListener::bind(bound).await.unwrap();
     tokio::spawn(async move {
@@ -125,28 +126,28 @@
 }
 
 #[tokio::test]
-async fn a_connection_hangs_goes_on_and_is_cut() {
+async fn a_connection_hangs_resumes_and_is_cut() {
     let (control, known, bound) = two_hosts(2).await;
     let mut stream = echo(known[1], bound[1]).await;
     assert_eq!(&exchange(&mut stream).await.unwrap(), b"ping");
-    set(control, json!({ "hang": true })).await;
+    set_faults(control, json!({ "hang": true })).await;
     stream.write_all(b"late").await.unwrap();
     let mut buffer = [0; 4];
-    assert!(tokio::time::timeout(NOTHING, stream.read_exact(&mut buffer)).await.is_err());
-    set(control, json!({})).await;
-    tokio::time::timeout(LIMIT, stream.read_exact(&mut buffer)).await.unwrap().unwrap();
+    assert!(tokio::time::timeout(QUIET_PERIOD, stream.read_exact(&mut buffer)).await.is_err());
+    set_faults(control, json!({})).await;
+    tokio::time::timeout(TIMEOUT, stream.read_exact(&mut buffer)).await.unwrap().unwrap();
     assert_eq!(&buffer, b"late");
-    set(control, json!({ "cut": true })).await;
-    let ended = tokio::time::timeout(LIMIT, exchange(&mut stream)).await.unwrap();
+    set_faults(control, json!({ "cut": true })).await;
+    let ended = tokio::time::timeout(TIMEOUT, exchange(&mut stream)).await.unwrap();
     assert!(ended.is_err());
     let mut refused = TcpStream::connect(known[1]).await.unwrap();
-    assert!(tokio::time::timeout(LIMIT, exchange(&mut refused)).await.unwrap().is_err());
+    assert!(tokio::time::timeout(TIMEOUT, exchange(&mut refused)).await.unwrap().is_err());
 }
 
 #[tokio::test]
-async fn a_connection_breaks_once_it_has_carried_enough() {
+async fn a_connection_is_reset_after_the_configured_number_of_bytes() {
     let (control, known, bound) = two_hosts(3).await;
-    set(control, json!({ "cut_after": 6 })).await;
+    set_faults(control, json!({ "cut_after": 6 })).await;
     let mut stream = echo(known[1], bound[1]).await;
     exchange(&mut stream).await.unwrap();
     let ended = async {
@@ -156,18 +157,18 @@
             }
         }
     };
-    tokio::time::timeout(LIMIT, ended).await.unwrap();
+    tokio::time::timeout(TIMEOUT, ended).await.unwrap();
 }
 
 #[tokio::test]
-async fn rules_that_can_not_be_read_change_nothing() {
+async fn invalid_rules_are_refused_and_change_nothing() {
     let (control, _, _) = two_hosts(4).await;
-    set(control, json!({ "loss": 0.5 })).await;
+    set_faults(control, json!({ "loss": 0.5 })).await;
     let method = ::http::Method::POST;
     let wrong = json!([{ "faults": { "los": 1.0 } }]);
-    let answer = http::json(control, method, "/rules", &wrong, LIMIT).await.unwrap();
+    let answer = http::json(control, method, "/rules", &wrong, TIMEOUT).await.unwrap();
     assert_eq!(answer.status(), ::http::StatusCode::BAD_REQUEST);
-    let rules = http::get(control, "/rules", LIMIT).await.unwrap();
+    let rules = http::get(control, "/rules", TIMEOUT).await.unwrap();
     let rules: Vec<rules::Rule> = serde_json::from_slice(rules.body()).unwrap();
     assert_eq!(rules[0].faults.loss, 0.5);
 }
--- a/src/standin/http.rs
+++ b/src/standin/http.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 request on a connection of its own, for stand-ins, bench and tests.
+//! An HTTP/1.1 client that opens a connection for each request, for stand-ins, bench and tests.
 
 use std::io;
 use std::net;
@@ -11,24 +11,25 @@
 use hyper_util::rt;
 use tokio::net::TcpStream;
 
-/// Why there is no whole answer.
+/// Why a request got no complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No connection.
+    /// The connection can't be opened.
     #[error("can't connect to {0}: {1}")]
     Connect(net::SocketAddr, io::Error),
-    /// The connection broke, or what came is not HTTP.
+    /// The connection broke, or the response is not HTTP.
     #[error("exchange with {0} failed: {1}")]
     Exchange(net::SocketAddr, hyper::Error),
     /// The request can't be built.
     #[error("the request is not valid: {0}")]
     Request(#[from] http::Error),
-    /// No whole answer in time.
-    #[error("no whole answer from {0} in time")]
+    /// The response was not complete in time.
+    #[error("no complete response from {0} in time")]
     Timeout(net::SocketAddr),
 }
 
-/// Sends `request` to `to` on a new connection and returns the whole answer, within `limit`.
+/// Sends `request` to `to` on a new connection and returns the complete response, or
+/// [`Error::Timeout`] after `limit`.
 pub async fn send(
     to: net::SocketAddr,
     request: http::Request<Full<Bytes>>,
@@ -38,7 +39,7 @@
     answer.unwrap_or(Err(Error::Timeout(to)))
 }
 
-/// A `GET` of `path` at `to`, see [`send`].
+/// Requests `path` from `to` with `GET`, see [`send`].
 pub async fn get(
     to: net::SocketAddr,
     path: &str,
@@ -50,7 +51,7 @@
     send(to, request, limit).await
 }
 
-/// A request with a JSON body at `to`, see [`send`].
+/// Sends a request with a JSON body to `to`, see [`send`].
 pub async fn json(
     to: net::SocketAddr,
     method: http::Method,
--- a/src/standin/local_mesh.rs
+++ b/src/standin/local_mesh.rs
@@ -1,4 +1,4 @@
-//! A whole small mesh in this process: log stand-in, nodes and upstream stand-ins on loopback.
+//! A mesh of a few hosts in one process: log stand-in, nodes and upstream stand-ins on loopback.
 
 use std::io;
 use std::net;
@@ -27,20 +27,20 @@
 use crate::standin;
 use crate::version;
 
-/// Longest the first publish may take.
-const PUBLISH: time::Duration = time::Duration::from_secs(10);
+/// Time limit for publishing the configuration at the start.
+const PUBLISH_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// Hosts that each node joins through.
-const JOINS: usize = 3;
+/// Maximum number of hosts in a node's join list.
+const MAX_JOIN_HOSTS: usize = 3;
 
-/// Room for requests to stop a node.
-const STOPS: usize = 2;
+/// Capacity of the ring that carries the requests to stop a node.
+const STOP_CAPACITY: usize = 2;
 
-/// Mesh and key of a mesh that lives in one process on loopback; not a secret.
+/// Name and key of the mesh. The key is not secret, as all nodes run in this process.
 const MESH: &str = "local";
 const KEY: &str = "a key for one process on loopback, of no secrecy";
 
-/// Why a small mesh could not be started.
+/// Why a local mesh can't be started or has failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The configuration file can't be read.
@@ -49,7 +49,7 @@
     /// The configuration file is not valid.
     #[error("{0} is not valid:\n{1}")]
     Invalid(path::PathBuf, fault::Faults),
-    /// The settings name what the configuration does not have.
+    /// The settings name something that the configuration does not have.
     #[error("the settings do not fit the configuration:\n{0}")]
     Mismatch(fault::Faults),
     /// An address can't be bound.
@@ -58,7 +58,7 @@
     /// The configuration can't be published.
     #[error("can't publish the configuration")]
     Publish(#[from] submit::Error<logs::http::Error>),
-    /// The log holds something else already.
+    /// The log refused the configuration, because it already holds another one.
     #[error("the configuration was refused: {0:?}")]
     Refused(outcomes::Outcome),
     /// A node can't be started or failed.
@@ -66,14 +66,14 @@
     Node(host::HostId, #[source] duty::Error),
 }
 
-/// A running small mesh.
+/// A running local mesh.
 #[derive(Debug)]
 pub struct LocalMesh {
-    /// Where the log stand-in listens.
+    /// Address of the log stand-in.
     pub log: net::SocketAddr,
     /// The version published at the start.
     pub version: version::Version,
-    /// Its hosts.
+    /// The hosts, each with a node and an upstream.
     pub hosts: Vec<configs::local::Host>,
     stop: watch::Sender<bool>,
     nodes: Vec<(host::HostId, ring::Sender<shell::Stop>, Running)>,
@@ -92,7 +92,7 @@
         let hosts = settings.hosts(&mesh).map_err(Error::Mismatch)?;
         let server = serve_log(&settings.log).await?;
         let version = publish(server.address(), body.into()).await?;
-        let mut small = Self {
+        let mut local = Self {
             log: server.address(),
             version,
             hosts,
@@ -101,26 +101,26 @@
             upstreams: Vec::new(),
             _server: server,
         };
-        for index in 0..small.hosts.len() {
-            small.start_host(&settings, &mesh, index).await?;
+        for index in 0..local.hosts.len() {
+            local.start_host(&settings, &mesh, index).await?;
         }
-        Ok(small)
+        Ok(local)
     }
 
-    /// Waits until `asked` is ready or a node fails, then stops everything as planned.
+    /// Runs until `asked` is ready or a node ends, then stops everything gracefully.
     pub async fn run(mut self, asked: impl Future<Output = ()>) -> Result<(), Error> {
         tokio::select! {
             () = asked => {}
-            () = any_ended(&mut self.nodes) => {}
+            () = any_node_ended(&mut self.nodes) => {}
         }
         self.stop.send_replace(true);
         for upstream in self.upstreams {
-            // A stand-in that panicked has nothing left to stop.
+            // An error means that the stand-in panicked; nothing is left to stop.
             let _ = upstream.await;
         }
         let mut result = Ok(());
         for (_, stop, _) in &self.nodes {
-            // A refused request means that the node has ended.
+            // The ring refuses the request when the node has already ended.
             let _ = stop.offer(shell::Stop);
         }
         for (id, _, running) in self.nodes {
@@ -141,14 +141,14 @@
         let context = context::Context::system();
         let node = shell::Node::start(context, self.node_settings(settings, index), ports::Builtin);
         let node = node.map_err(|e| Error::Node(id, e))?;
-        let (stop, stops) = ring::bounded(STOPS);
+        let (stop, stops) = ring::bounded(STOP_CAPACITY);
         self.nodes.push((id, stop, tokio::spawn(node.run(stops))));
         let options = options(settings, mesh, &host, index);
         let upstream = standin::upstream::Server::bind(options).await;
         let upstream = upstream.map_err(|e| Error::Listen(host.upstream, e))?;
         let mut stop = self.stop.subscribe();
         self.upstreams.push(tokio::spawn(upstream.serve(async move {
-            // A dropped sender means the end, too.
+            // A dropped sender also stops the upstream.
             let _ = stop.wait_for(|stop| *stop).await;
         })));
         Ok(())
@@ -163,17 +163,17 @@
             listen: host.listen,
             region: settings.region.clone(),
             zone: host.zone.clone(),
-            join: joins.map(|other| other.listen).take(JOINS).collect(),
+            join: joins.map(|other| other.listen).take(MAX_JOIN_HOSTS).collect(),
             log: configs::log::Log { address: self.log, ..settings.node.log.clone() },
             ..settings.node.clone()
         }
     }
 }
 
-async fn any_ended(nodes: &mut [(host::HostId, ring::Sender<shell::Stop>, Running)]) {
-    const LOOK: time::Duration = time::Duration::from_millis(100);
+async fn any_node_ended(nodes: &mut [(host::HostId, ring::Sender<shell::Stop>, Running)]) {
+    const POLL_INTERVAL: time::Duration = time::Duration::from_millis(100);
     while !nodes.iter().any(|(_, _, running)| running.is_finished()) {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -193,10 +193,10 @@
     let base = version::Version::NONE;
     let id = id::PublishId::derive(base, &body);
     let publish = record::Publish { format: rules::NEWEST_FORMAT, base, id, body };
-    let submitter = submit::Submitter::new(client, rules::Builtin, PUBLISH, seed);
+    let submitter = submit::Submitter::new(client, rules::Builtin, PUBLISH_TIMEOUT, seed);
     let answer = submitter.submit(publish).await?;
     match answer.outcome {
-        outcomes::Outcome::Accepted(stamp) => Ok(stamp.version),
+        outcomes::Outcome::Accepted(version_id) => Ok(version_id.version),
         other => Err(Error::Refused(other)),
     }
 }
--- a/src/standin/log/faults.rs
+++ b/src/standin/log/faults.rs
@@ -1,44 +1,44 @@
-//! Faults the log stand-in shows on request.
+//! Faults that the log stand-in injects on request.
 
 use rand::RngExt as _;
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
 use serde::{Deserialize, Serialize};
 
-/// How the service fails as a whole.
+/// How the whole service fails.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outage {
-    /// It does not.
+    /// No outage.
     #[default]
     None,
     /// Every request is answered with 503 and has no effect.
     Refuse,
-    /// Every connection is closed when a request arrives on it, which has no effect.
+    /// Each request closes its connection and has no effect.
     Close,
-    /// No request is answered or has an effect.
+    /// Requests are never answered and have no effect.
     Hang,
 }
 
-/// What `POST /faults` sets. Fields left out are without fault.
+/// The body of `POST /faults`. A field that is absent means that this fault is off.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
     /// Outage of the whole service.
     pub outage: Outage,
-    /// Delay before each request has its effect, in milliseconds.
+    /// Delay before each request is processed, in milliseconds.
     pub delay_ms: u64,
-    /// How many of the next appends take effect while their answer is lost.
+    /// How many of the next appends are stored but get no response.
     pub lose_next: u32,
-    /// Share of the appends after these that take effect while their answer is lost, 0 to 1.
+    /// Share of the later appends that are stored but get no response, 0 to 1.
     pub lose_share: f64,
-    /// Seed of the choice made by `lose_share`.
+    /// Seed of the random choice by `lose_share`.
     pub seed: u64,
-    /// When given, all but this many records of each stream expire now.
+    /// If present, all but the last so many records of each stream expire at once.
     pub keep_last: Option<usize>,
 }
 
-/// The faults in force.
+/// The faults in force, with the random numbers that decide about single appends.
 #[derive(Debug)]
 pub struct State {
     faults: Faults,
@@ -51,7 +51,7 @@
         Self::with(Faults::default())
     }
 
-    /// The given faults from now on.
+    /// Puts `faults` in force and restarts the random numbers from their seed.
     pub fn with(faults: Faults) -> Self {
         Self { faults, rng: SmallRng::seed_from_u64(faults.seed) }
     }
@@ -61,7 +61,7 @@
         &self.faults
     }
 
-    /// Whether the answer of the append that just took effect is lost.
+    /// Decides whether the append that was just stored gets no response.
     pub fn lose(&mut self) -> bool {
         if self.faults.lose_next > 0 {
             self.faults.lose_next -= 1;
--- a/src/standin/log/mod.rs
+++ b/src/standin/log/mod.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the platform's log service: append-only streams in memory behind plain HTTP.
 //!
-//! `docs/LOG-PROTOCOL.md` describes what it speaks. Records are kept for a limited time, appends
-//! are limited in rate, and faults are shown on request.
+//! `docs/LOG-PROTOCOL.md` describes the protocol. Records expire, the rate of appends is limited,
+//! and `POST /faults` makes the service fail in the ways of [`faults::Faults`].
 
 use std::io;
 use std::net;
@@ -21,17 +21,17 @@
 pub mod serve;
 pub mod store;
 
-/// How long the listener rests after a failed accept.
+/// Pause after a failed accept, so that it causes no busy loop.
 const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(50);
 
-/// How the stand-in behaves.
+/// Limits of the stand-in.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Options {
-    /// How long records are kept.
+    /// Age and number of the records that are kept.
     pub retention: store::Retention,
-    /// Appends per second, over all streams.
+    /// Maximum number of appends per second, over all streams.
     pub rate: u32,
-    /// Largest record, in bytes.
+    /// Maximum size of a record, in bytes.
     pub body_bytes: usize,
 }
 
@@ -43,12 +43,12 @@
     }
 }
 
-/// A running stand-in. It ends when this value is dropped.
+/// A running stand-in, which stops when this value is dropped.
 #[derive(Debug)]
 pub struct Server {
     address: net::SocketAddr,
     shared: Arc<serve::Shared>,
-    /// Accepts connections; its connections end with it.
+    /// The task that accepts connections; aborting it closes all of them.
     task: task::JoinHandle<()>,
 }
 
@@ -62,7 +62,7 @@
         Ok(Self { address, shared, task })
     }
 
-    /// Where it listens.
+    /// The address on which it listens, with the port that was chosen for port 0.
     pub const fn address(&self) -> net::SocketAddr {
         self.address
     }
--- a/src/standin/log/rate.rs
+++ b/src/standin/log/rate.rs
@@ -1,4 +1,4 @@
-//! Limit on the rate of appends.
+//! Limits the rate of appends.
 
 use crate::clock;
 
@@ -19,7 +19,7 @@
         Self { limit, tokens: limit, filled: now }
     }
 
-    /// Takes a token; false when there is none.
+    /// Takes a token; `false` if none is left and the append must be refused.
     pub fn take(&mut self, now: clock::Instant) -> bool {
         let gained = now.since(self.filled).as_secs_f64() * self.limit;
         self.tokens = (self.tokens + gained).min(self.limit);
--- a/src/standin/log/serve.rs
+++ b/src/standin/log/serve.rs
@@ -1,4 +1,4 @@
-//! HTTP requests to the log stand-in.
+//! Handles the HTTP requests to the log stand-in.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time;
@@ -15,19 +15,19 @@
 use crate::logs::wire;
 use crate::standin::log::{self, faults, rate, store};
 
-/// Most records a read gets when it names no number.
-const MOST: u32 = 100;
+/// Maximum number of records of a read that names none in its query.
+const DEFAULT_RECORDS: u32 = 100;
 
-/// Longest a read waits, in milliseconds.
-const WAIT_MS: u64 = 60_000;
+/// Upper bound of a read's waiting time for new records.
+const MAX_WAIT_MS: u64 = 60_000;
 
-/// Path of the fault switch.
+/// Path that sets the faults in force.
 const FAULTS_PATH: &str = "/faults";
 
 /// Prefix of the paths of streams.
 const STREAMS_PATH: &str = "/streams/";
 
-/// The connection is closed without an answer.
+/// Makes hyper close the connection without a response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("the answer is lost on purpose")]
 pub struct Lost;
@@ -38,7 +38,7 @@
     context: context::Context,
     options: log::Options,
     inner: Mutex<Inner>,
-    /// Sends a number that rises when there may be something new to read.
+    /// A counter that increases with each append and wakes the reads that wait.
     changed: watch::Sender<u64>,
 }
 
@@ -53,14 +53,14 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct Query {
     from: logs::Offset,
-    most: u32,
+    max: u32,
     wait: time::Duration,
 }
 
 type Reply = Response<Full<Bytes>>;
 
 impl Shared {
-    /// An empty log.
+    /// The state of a log without streams.
     pub fn new(context: context::Context, options: log::Options) -> Self {
         let inner = Inner {
             faults: faults::State::new(),
@@ -82,7 +82,7 @@
     /// Answers `request`.
     pub async fn handle(self: Arc<Self>, request: Request<body::Incoming>) -> Result<Reply, Lost> {
         if request.uri().path() == FAULTS_PATH {
-            return Ok(self.switch(request).await);
+            return Ok(self.replace_faults(request).await);
         }
         let outage = self.lock().faults.faults().outage;
         match outage {
@@ -103,7 +103,7 @@
         }
     }
 
-    async fn switch(&self, request: Request<body::Incoming>) -> Reply {
+    async fn replace_faults(&self, request: Request<body::Incoming>) -> Reply {
         let Some(body) = collect(request, self.options.body_bytes).await else {
             return status(StatusCode::BAD_REQUEST);
         };
@@ -143,7 +143,7 @@
         let end = tokio::time::Instant::now() + query.wait;
         let batch = loop {
             let batch = self.batch(stream, query);
-            if !batch.records.is_empty() || query.most == 0 {
+            if !batch.records.is_empty() || query.max == 0 {
                 break batch;
             }
             match tokio::time::timeout_at(end, changed.changed()).await {
@@ -158,7 +158,7 @@
     fn batch(&self, stream: &str, query: Query) -> logs::Batch {
         let mut inner = self.lock();
         inner.store.expire(self.context.clock.unix_millis(), self.options.retention);
-        inner.store.read(stream, query.from, query.most)
+        inner.store.read(stream, query.from, query.max)
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -168,15 +168,15 @@
 
 impl Query {
     fn parse(query: &str) -> Result<Self, std::num::ParseIntError> {
-        let mut parsed = Self { from: 0, most: MOST, wait: time::Duration::ZERO };
+        let mut parsed = Self { from: 0, max: DEFAULT_RECORDS, wait: time::Duration::ZERO };
         for pair in query.split('&') {
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
             match name {
                 "from" => parsed.from = value.parse()?,
-                "most" => parsed.most = value.parse()?,
+                "most" => parsed.max = value.parse()?,
                 "wait_ms" => {
                     let millis: u64 = value.parse()?;
-                    parsed.wait = time::Duration::from_millis(millis.min(WAIT_MS));
+                    parsed.wait = time::Duration::from_millis(millis.min(MAX_WAIT_MS));
                 }
                 _ => {}
             }
--- a/src/standin/log/store.rs
+++ b/src/standin/log/store.rs
@@ -1,4 +1,4 @@
-//! Streams in memory with limited retention.
+//! Streams of records in memory, with limited retention.
 
 use std::collections;
 use std::time;
@@ -9,19 +9,19 @@
 use crate::logs;
 use crate::logs::wire;
 
-/// How long records are kept.
+/// Which records are kept.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Retention {
     /// Age at which a record expires.
     pub age: time::Duration,
-    /// Most records of one stream; the oldest beyond it expire.
+    /// Maximum number of records in a stream; the oldest ones beyond it expire.
     pub count: usize,
 }
 
-/// Bytes after which a batch takes no further record.
+/// Size at which a batch is complete. The last record may exceed it.
 const BATCH_BYTES: usize = 4 << 20;
 
-/// All streams. A stream exists once it has been appended to; others read as empty.
+/// All streams. A stream is created by its first append; an unknown one reads as empty.
 #[derive(Debug, Default)]
 pub struct Store {
     streams: collections::HashMap<SmolStr, Stream>,
@@ -36,7 +36,7 @@
 }
 
 impl Store {
-    /// Appends `body` to the stream called `name`.
+    /// Appends `body` to the stream `name` and returns its offset.
     pub fn append(&mut self, name: &str, unix_millis: u64, body: Bytes) -> logs::Offset {
         let stream = self.streams.entry(SmolStr::new(name)).or_default();
         let offset = stream.next;
@@ -45,8 +45,8 @@
         offset
     }
 
-    /// Up to `most` records of the stream called `name` from `from` on.
-    pub fn read(&self, name: &str, from: logs::Offset, most: u32) -> logs::Batch {
+    /// Returns up to `max` records of the stream `name`, starting at the offset `from`.
+    pub fn read(&self, name: &str, from: logs::Offset, max: u32) -> logs::Batch {
         let Some(stream) = self.streams.get(name) else {
             return logs::Batch::default();
         };
@@ -54,7 +54,7 @@
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
         let mut bytes = 0;
         let mut records = Vec::new();
-        for record in stream.records.iter().skip(skip).take(most as usize) {
+        for record in stream.records.iter().skip(skip).take(max as usize) {
             records.push(record.clone());
             bytes += wire::encoded_len(record);
             if bytes >= BATCH_BYTES {
@@ -64,7 +64,7 @@
         logs::Batch { epoch: 0, first: stream.first(), next: stream.next, records }
     }
 
-    /// Drops every record that has expired at `now`.
+    /// Drops the records that have expired at `now_millis`, in milliseconds since the Unix epoch.
     pub fn expire(&mut self, now_millis: u64, retention: Retention) {
         let age = u64::try_from(retention.age.as_millis()).unwrap_or(u64::MAX);
         for stream in self.streams.values_mut() {
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the platform: log service and upstream.
+//! Stand-ins for the platform's log service and upstreams, and a proxy that injects faults.
 
 mod accept;
 pub mod fault;
--- a/src/standin/upstream/announce.rs
+++ b/src/standin/upstream/announce.rs
@@ -1,4 +1,4 @@
-//! Announcements to the node on the same host.
+//! Announces the upstream to the node on the same host.
 
 use std::net;
 use std::sync::Arc;
@@ -10,17 +10,17 @@
 use crate::standin::upstream::state;
 use crate::view;
 
-/// Time between two announcements.
-const PERIOD: time::Duration = time::Duration::from_secs(2);
-/// Time between two announcements while the node does not take them.
-const RETRY: time::Duration = time::Duration::from_millis(200);
-/// Longest one announcement may take.
-const LIMIT: time::Duration = time::Duration::from_secs(1);
-/// Path of the node's endpoint.
+/// Time between two announcements that the node accepts.
+const ANNOUNCE_INTERVAL: time::Duration = time::Duration::from_secs(2);
+/// Time until the next attempt when the node did not accept an announcement.
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(200);
+/// Time limit of one announcement or withdrawal.
+const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(1);
+/// Path of the node's endpoint for announcements.
 const PATH: &str = "/upstream";
 
-/// Announces the upstream at `address` to the node at `admin`, again and again; at once when
-/// `woken`.
+/// Announces the upstream at `address` to the node at `admin` periodically, and immediately when
+/// `woken` is notified; never returns.
 pub async fn repeat(
     shared: Arc<state::Shared>,
     admin: net::SocketAddr,
@@ -28,8 +28,8 @@
     woken: Arc<tokio::sync::Notify>,
 ) {
     loop {
-        let taken = announce(&shared, admin, address).await;
-        let pause = if taken { PERIOD } else { RETRY };
+        let accepted = announce(&shared, admin, address).await;
+        let pause = if accepted { ANNOUNCE_INTERVAL } else { RETRY_DELAY };
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
             () = woken.notified() => {}
@@ -37,12 +37,12 @@
     }
 }
 
-/// Takes the announcement back.
+/// Withdraws the announcement.
 pub async fn withdraw(admin: net::SocketAddr) {
     let method = ::http::Method::DELETE;
-    let done = http::json(admin, method, PATH, &serde_json::Value::Null, LIMIT).await;
+    let done = http::json(admin, method, PATH, &serde_json::Value::Null, REQUEST_TIMEOUT).await;
     if let Err(error) = done {
-        log::warn!("the node did not take the withdrawal: {error}");
+        log::warn!("can't withdraw the announcement from the node: {error}");
     }
 }
 
@@ -59,14 +59,14 @@
         "connections": shared.options.connections,
         "phase": name(shared.phase()),
     });
-    match http::json(admin, ::http::Method::PUT, PATH, &body, LIMIT).await {
+    match http::json(admin, ::http::Method::PUT, PATH, &body, REQUEST_TIMEOUT).await {
         Ok(answer) if answer.status().is_success() => true,
         Ok(answer) => {
             log::warn!("the node refused the announcement: {}", answer.status());
             false
         }
         Err(error) => {
-            log::debug!("the node did not take the announcement: {error}");
+            log::debug!("can't announce the upstream to the node: {error}");
             false
         }
     }
--- a/src/standin/upstream/control.rs
+++ b/src/standin/upstream/control.rs
@@ -1,4 +1,4 @@
-//! Health, load, control and records over HTTP.
+//! The upstream's HTTP endpoints for health, load, control and its record.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -15,8 +15,8 @@
 use crate::standin::upstream::server;
 use crate::standin::upstream::state;
 
-/// Largest control request, in bytes.
-const MOST: usize = 64 * 1024;
+/// Maximum size of the body of a control request.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// Answers one request on the control port: `GET /runs`, `GET /faults`, `POST /control` with
 /// a [`faults::Change`] as JSON.
@@ -33,10 +33,10 @@
     Ok(answer)
 }
 
-/// What the health endpoint says; true unless the upstream lies or lags.
+/// Response of the health endpoint, which is false or old under the faults `lie` and `lag_ms`.
 pub fn health(shared: &state::Shared) -> http::Response<run::Body> {
     let state = shared.state();
-    let at = past(shared, &state);
+    let at = reported_time(shared, &state);
     let leaving = state.drain.is_some_and(|since| since <= at);
     if leaving && !state.faults.lie {
         return run::plain(http::StatusCode::SERVICE_UNAVAILABLE, "draining\n");
@@ -44,22 +44,22 @@
     run::plain(http::StatusCode::OK, "serving\n")
 }
 
-/// What the load endpoint says; true unless the upstream lies or lags.
+/// Response of the load endpoint, which is false or old under the faults `lie` and `lag_ms`.
 pub fn load(shared: &Arc<state::Shared>) -> http::Response<run::Body> {
     let state = shared.state();
-    let running = if state.faults.lie { 0 } else { state.load_at(past(shared, &state)) };
+    let running = if state.faults.lie { 0 } else { state.load_at(reported_time(shared, &state)) };
     ok(&json!({ "running": running, "slots": shared.options.slots }))
 }
 
-/// The moment the endpoints speak of.
-fn past(shared: &state::Shared, state: &state::State) -> clock::Instant {
+/// The time whose state the health and load endpoints report: now, minus `lag_ms`.
+fn reported_time(shared: &state::Shared, state: &state::State) -> clock::Instant {
     let now = shared.clock.now();
     let lag = time::Duration::from_millis(state.faults.lag_ms);
     clock::Instant::ZERO + now.since(clock::Instant::ZERO + lag)
 }
 
 async fn change(handle: &server::Handle, body: body::Incoming) -> http::Response<run::Body> {
-    let Ok(body) = Limited::new(body, MOST).collect().await else {
+    let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
         return run::plain(http::StatusCode::BAD_REQUEST, "the body can't be read\n");
     };
     match serde_json::from_slice::<faults::Change>(&body.to_bytes()) {
--- a/src/standin/upstream/faults.rs
+++ b/src/standin/upstream/faults.rs
@@ -1,39 +1,39 @@
-//! Faults an upstream plays on request.
+//! Faults that an upstream stand-in injects on request.
 
 use std::time;
 
 use serde::{Deserialize, Serialize};
 
-/// How an upstream is dead.
+/// How an upstream fails completely.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Dead {
-    /// It is not.
+    /// It works.
     #[default]
     No,
     /// Closes every new connection at once.
     Refuse,
-    /// Takes connections and requests, runs nothing and never answers.
+    /// Accepts connections and requests, but runs nothing and never responds.
     Hang,
 }
 
-/// What an upstream does wrong.
+/// Faults of an upstream. The default is none.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Added to the time of each call, in milliseconds.
+    /// Addition to the time of each call, in milliseconds.
     pub slow_ms: u64,
-    /// Whether and how it is dead.
+    /// Whether it fails completely, and how.
     pub dead: Dead,
-    /// Whether health and load endpoints say that it is well and idle.
+    /// Whether the health and load endpoints always report a healthy, idle upstream.
     pub lie: bool,
-    /// How old what health and load endpoints say is, in milliseconds.
+    /// Age of the state that the health and load endpoints report, in milliseconds.
     pub lag_ms: u64,
     /// Share of calls it sheds, 0 to 1.
     pub shed: f64,
-    /// Share of answers it cuts in their middle, 0 to 1.
+    /// Share of responses it breaks off in the middle, 0 to 1.
     pub cut: f64,
-    /// Pause before each part of an answer, in milliseconds.
+    /// Pause before each part of a response, in milliseconds.
     pub trickle_ms: u64,
 }
 
@@ -55,12 +55,12 @@
     pub cut: Option<f64>,
     /// See [`Faults::trickle_ms`].
     pub trickle_ms: Option<u64>,
-    /// Starts to drain; can't be taken back.
+    /// If true, the upstream starts to drain, which can't be undone.
     pub drain: Option<bool>,
 }
 
 impl Faults {
-    /// These faults after `change`.
+    /// Returns these faults with `change` applied.
     pub fn with(self, change: &Change) -> Self {
         Self {
             slow_ms: change.slow_ms.unwrap_or(self.slow_ms),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Added to the time of each call.
+    /// Addition to the time of each call.
     pub fn slow(&self) -> time::Duration {
         time::Duration::from_millis(self.slow_ms)
     }
--- a/src/standin/upstream/mod.rs
+++ b/src/standin/upstream/mod.rs
@@ -1,8 +1,8 @@
-//! An upstream in memory: slots, connections, cold start, drain, shed and faults on request.
+//! A stand-in for an upstream: slots, connections, cold start, drain, shed and injected faults.
 //!
-//! It records each run by request id and idempotency key, so that what callers were told can be
-//! checked against what was run. Control and records have a port of their own, which answers
-//! while the upstream plays dead.
+//! It records each run by request id and idempotency key, so that tests can compare the outcomes
+//! that callers received with what was run. Control and record have a port of their own, which
+//! also responds while the upstream simulates a failure.
 
 mod announce;
 pub mod answer;
@@ -21,7 +21,7 @@
 pub use server::Handle;
 pub use server::Server;
 
-/// Header of an answer that says why nothing was run.
+/// Header of a response that says why the call was not run.
 pub const HEADER: &str = "dandelionspool-upstream";
-/// Value of [`HEADER`] when the call was shed: nothing of it ran.
+/// Value of [`HEADER`] when the call was shed, so that no part of it ran.
 pub const SHED: &str = "shed";
--- a/src/standin/upstream/record.rs
+++ b/src/standin/upstream/record.rs
@@ -1,14 +1,14 @@
-//! Record of what an upstream ran.
+//! The record of the calls that an upstream ran.
 
 use std::collections;
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Most request ids kept; later ones are only counted in [`Record::lost`].
-const MOST: usize = 400_000;
+/// Maximum number of request ids kept; further ones are only counted in [`Record::lost`].
+const MAX_IDS: usize = 400_000;
 
-/// What was run under one request id. A run counts from the moment it starts.
+/// The runs of one request id.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Run {
     /// Idempotency key, if the request had one.
@@ -17,9 +17,9 @@
     pub path: SmolStr,
     /// Runs started.
     pub starts: u32,
-    /// Runs ended by themselves.
+    /// Runs that completed.
     pub ends: u32,
-    /// Runs given up because the connection closed or the deadline passed.
+    /// Runs cancelled because the connection closed or the deadline passed.
     pub cancels: u32,
     /// Wall-clock time of the last start, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
@@ -38,22 +38,22 @@
     pub sheds: u64,
     /// Connections closed at once because there were too many.
     pub refusals: u64,
-    /// Most calls that ran at the same time.
+    /// Maximum number of calls that ran at the same time.
     pub peak: u32,
     /// Wall-clock time of the last start, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
-    /// Wall-clock time of the drain's announcement, in milliseconds since the Unix epoch.
+    /// Wall-clock time at which the drain began, in milliseconds since the Unix epoch.
     pub drain_unix_ms: Option<u64>,
-    /// Starts not kept by id because there were too many ids.
+    /// Runs started that are not in `runs` because there were too many ids.
     pub lost: u64,
 }
 
 impl Record {
-    /// Notes the start of a run.
+    /// Records the start of a run.
     pub fn start(&mut self, id: &SmolStr, key: Option<&SmolStr>, path: &str, unix_ms: u64) {
         self.starts += 1;
         self.unix_ms = unix_ms;
-        if self.runs.len() >= MOST && !self.runs.contains_key(id) {
+        if self.runs.len() >= MAX_IDS && !self.runs.contains_key(id) {
             self.lost += 1;
             return;
         }
@@ -67,14 +67,14 @@
         run.unix_ms = unix_ms;
     }
 
-    /// Notes that the run of `id` ended by itself.
+    /// Records that the run of `id` completed.
     pub fn end(&mut self, id: &SmolStr) {
         if let Some(run) = self.runs.get_mut(id) {
             run.ends += 1;
         }
     }
 
-    /// Notes that the run of `id` was given up.
+    /// Records that the run of `id` was cancelled.
     pub fn cancel(&mut self, id: &SmolStr) {
         if let Some(run) = self.runs.get_mut(id) {
             run.cancels += 1;
--- a/src/standin/upstream/run.rs
+++ b/src/standin/upstream/run.rs
@@ -1,4 +1,4 @@
-//! One call: decide, read, run, answer.
+//! One call: decides whether it runs, reads the request, waits for its time and responds.
 
 use std::convert::Infallible;
 use std::process;
@@ -18,25 +18,25 @@
 
 mod reply;
 
-/// Body of every answer.
+/// Body of a response: a short text or JSON, or the body of a call that ran.
 pub type Body = Either<Full<Bytes>, reply::Reply>;
 
-/// Filler of an answer when the request names no length, in bytes.
-const FILLER: u64 = 256;
+/// Length of the filler if the request's query names none.
+const DEFAULT_FILLER_BYTES: u64 = 256;
 
-/// Exit status of an upstream that a call has ended.
-const CRASHED: i32 = 101;
+/// Exit code of the process when a call crashes it, the same as after a panic.
+const CRASH_EXIT_CODE: i32 = 101;
 
-/// A running call: holds a slot until it is dropped.
+/// A running call, which holds a slot until it is dropped.
 struct Running {
     shared: Arc<state::Shared>,
     id: SmolStr,
-    ended: bool,
+    completed: bool,
 }
 
 impl Running {
-    fn end(&mut self) {
-        self.ended = true;
+    fn complete(&mut self) {
+        self.completed = true;
         self.shared.state().record.end(&self.id);
     }
 }
@@ -45,38 +45,38 @@
     fn drop(&mut self) {
         let mut state = self.shared.state();
         state.running -= 1;
-        if !self.ended {
+        if !self.completed {
             state.record.cancel(&self.id);
         }
     }
 }
 
-/// What a call asks for.
+/// The call that a request makes.
 struct Call {
     id: SmolStr,
     key: Option<SmolStr>,
     path: SmolStr,
-    left: Option<time::Duration>,
+    remaining: Option<time::Duration>,
     bytes: u64,
     time: Option<time::Duration>,
 }
 
 impl Call {
-    fn of(request: &http::Request<body::Incoming>) -> Self {
+    fn from_request(request: &http::Request<body::Incoming>) -> Self {
         let text = |name| request.headers().get(name).and_then(|v| v.to_str().ok());
-        let left = text(headers::DEADLINE).and_then(|v| v.parse().ok());
+        let remaining = text(headers::DEADLINE).and_then(|v| v.parse().ok());
         Self {
             id: SmolStr::new(text(headers::REQUEST_ID).unwrap_or_default()),
             key: text(headers::IDEMPOTENCY_KEY).map(SmolStr::new),
             path: SmolStr::new(request.uri().path()),
-            left: left.map(time::Duration::from_millis),
-            bytes: query(request.uri(), "bytes").unwrap_or(FILLER),
+            remaining: remaining.map(time::Duration::from_millis),
+            bytes: query(request.uri(), "bytes").unwrap_or(DEFAULT_FILLER_BYTES),
             time: query(request.uri(), "ms").map(time::Duration::from_millis),
         }
     }
 }
 
-/// Answers one request on the port for calls.
+/// Responds to one request on the port for calls.
 pub async fn serve(
     shared: Arc<state::Shared>,
     request: http::Request<body::Incoming>,
@@ -92,7 +92,7 @@
     shared: &Arc<state::Shared>,
     request: http::Request<body::Incoming>,
 ) -> http::Response<Body> {
-    let call = Call::of(&request);
+    let call = Call::from_request(&request);
     match start(shared, &call) {
         state::Verdict::Run(time) => run(shared, &call, time, request.into_body()).await,
         state::Verdict::Shed => shed(),
@@ -100,12 +100,12 @@
     }
 }
 
-/// Decides, and takes the slot and writes the record in the same step.
+/// Decides about the call; takes the slot and updates the record under the same lock.
 fn start(shared: &state::Shared, call: &Call) -> state::Verdict {
     let now = shared.clock.now();
     let unix_ms = shared.clock.unix_millis();
     let mut state = shared.state();
-    let verdict = state.decide(&shared.options, &call.path, &call.id, call.left, now);
+    let verdict = state.decide(&shared.options, &call.path, &call.id, call.remaining, now);
     match verdict {
         state::Verdict::Run(_) => {
             state.running += 1;
@@ -116,7 +116,7 @@
         state::Verdict::Hang => {}
     }
     let running = state.running;
-    state.note_load(now, running);
+    state.record_load(now, running);
     verdict
 }
 
@@ -126,26 +126,26 @@
     time: time::Duration,
     body: body::Incoming,
 ) -> http::Response<Body> {
-    let mut running = Running { shared: Arc::clone(shared), id: call.id.clone(), ended: false };
+    let mut running = Running { shared: Arc::clone(shared), id: call.id.clone(), completed: false };
     let began = shared.clock.now();
     let Some(hash) = hash(body).await else {
         return plain(http::StatusCode::BAD_REQUEST, "the request's body is not whole\n");
     };
     let end = began + call.time.unwrap_or(time);
-    let deadline = call.left.map(|left| began + left);
+    let deadline = call.remaining.map(|remaining| began + remaining);
     let until = deadline.map_or(end, |deadline| deadline.min(end));
     tokio::time::sleep(until.since(shared.clock.now())).await;
     if until < end {
         return plain(http::StatusCode::GATEWAY_TIMEOUT, "the deadline has passed\n");
     }
     if shared.options.crashes(&call.path) {
-        process::exit(CRASHED);
+        process::exit(CRASH_EXIT_CODE);
     }
-    running.end();
-    whole(call, &hash, running)
+    running.complete();
+    respond(call, &hash, running)
 }
 
-fn whole(call: &Call, hash: &str, running: Running) -> http::Response<Body> {
+fn respond(call: &Call, hash: &str, running: Running) -> http::Response<Body> {
     let (cut, trickle) = {
         let state = running.shared.state();
         let cut = state.cuts(&running.shared.options, &call.id);
@@ -155,7 +155,7 @@
     http::Response::new(Either::Right(reply))
 }
 
-/// Hash of the whole body in hexadecimal; `None` when it is cut short.
+/// Hash of the complete body in hexadecimal; `None` if the body is truncated.
 async fn hash(mut body: body::Incoming) -> Option<String> {
     let mut hasher = blake3::Hasher::new();
     while let Some(frame) = body.frame().await {
@@ -173,14 +173,14 @@
     answer
 }
 
-/// A short answer of text.
+/// A response with a short text.
 pub fn plain(status: http::StatusCode, text: &str) -> http::Response<Body> {
     let mut answer = http::Response::new(Either::Left(Full::new(Bytes::from(text.to_owned()))));
     *answer.status_mut() = status;
     answer
 }
 
-/// The number called `name` in the query of `uri`.
+/// The value of the parameter `name` in the query of `uri`; `None` if absent or not a number.
 fn query(uri: &http::Uri, name: &str) -> Option<u64> {
     let pairs = uri.query()?.split('&').filter_map(|pair| pair.split_once('='));
     pairs.filter(|(key, _)| *key == name).find_map(|(_, value)| value.parse().ok())
--- a/src/standin/upstream/run/reply.rs
+++ b/src/standin/upstream/run/reply.rs
@@ -1,4 +1,4 @@
-//! The body of a whole answer, made as it is sent.
+//! The response body of a call that ran, generated while it is sent.
 
 use std::io;
 use std::pin;
@@ -10,12 +10,12 @@
 
 use crate::standin::upstream::answer;
 
-/// Largest part sent at once, in bytes.
-const PART: u64 = 16 * 1024;
-/// Parts an answer that trickles is sent in, at least.
-const TRICKLES: u64 = 8;
+/// Maximum size of one part of the body.
+const PART_BYTES: u64 = 16 * 1024;
+/// Minimum number of parts of a body that is sent slowly.
+const MIN_TRICKLE_PARTS: u64 = 8;
 
-/// What comes next.
+/// The part of the body that is sent next.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Step {
     Head,
@@ -24,17 +24,17 @@
     End,
 }
 
-/// Body of a whole answer, see [`answer`] for its layout.
+/// Response body of a call that ran; see [`answer`] for its layout.
 pub struct Reply {
     step: Step,
     head: Bytes,
     block: Bytes,
-    /// Bytes of filler still to send.
-    left: u64,
+    /// Bytes of filler not yet sent.
+    remaining: u64,
     part: u64,
     length: u64,
     hasher: blake3::Hasher,
-    /// The answer breaks when this much filler is left.
+    /// Number of remaining bytes of filler at which the body fails, if it does.
     cut: Option<u64>,
     pause: time::Duration,
     sleep: Option<pin::Pin<Box<tokio::time::Sleep>>>,
@@ -42,22 +42,22 @@
 }
 
 impl Reply {
-    /// The answer to the request `id` whose body has `hash`, with `bytes` of filler; the slot of
-    /// `running` is freed with the last part.
+    /// The response to the request `id`, whose body has the hash `hash`, with `bytes` of filler.
+    /// The slot of `running` is freed with the last part.
     pub(super) fn new(id: &str, hash: &str, bytes: u64, running: super::Running) -> Self {
         let head = answer::Head { id: id.into(), request: hash.into(), bytes };
         let mut head = serde_json::to_vec(&head).unwrap_or_default();
         head.push(b'\n');
         let seed = blake3::hash(id.as_bytes());
-        let part = usize::try_from(PART).unwrap_or_default();
+        let part = usize::try_from(PART_BYTES).unwrap_or_default();
         let block: Vec<u8> = seed.as_bytes().iter().copied().cycle().take(part).collect();
         let length = head.len() as u64 + bytes + answer::HASH_CHARS as u64;
         Self {
             step: Step::Head,
             head: Bytes::from(head),
             block: Bytes::from(block),
-            left: bytes,
-            part: PART,
+            remaining: bytes,
+            part: PART_BYTES,
             length,
             hasher: blake3::Hasher::new(),
             cut: None,
@@ -67,35 +67,35 @@
         }
     }
 
-    /// Waits for `pause` before each part and sends at least [`TRICKLES`] parts.
+    /// Waits for `pause` before each part and sends at least [`MIN_TRICKLE_PARTS`] parts.
     pub(super) fn trickle(mut self, pause: time::Duration) -> Self {
         self.pause = pause;
         if !pause.is_zero() {
-            self.part = (self.left / TRICKLES).clamp(1, PART);
+            self.part = (self.remaining / MIN_TRICKLE_PARTS).clamp(1, PART_BYTES);
         }
         self
     }
 
-    /// Breaks the answer in the middle of its filler when `cut`.
+    /// Makes the body fail in the middle of its filler if `cut`.
     pub(super) fn cut(mut self, cut: bool) -> Self {
-        self.cut = cut.then_some(self.left / 2);
+        self.cut = cut.then_some(self.remaining / 2);
         self
     }
 
     fn next(&mut self) -> Option<Result<Bytes, io::Error>> {
         let bytes = match self.step {
             Step::Head => {
-                self.step = if self.left == 0 { Step::Hash } else { Step::Filler };
+                self.step = if self.remaining == 0 { Step::Hash } else { Step::Filler };
                 self.head.clone()
             }
             Step::Filler => {
-                if self.cut.is_some_and(|at| self.left <= at) {
+                if self.cut.is_some_and(|at| self.remaining <= at) {
                     self.step = Step::End;
                     return Some(Err(io::Error::from(io::ErrorKind::ConnectionReset)));
                 }
-                let size = self.left.saturating_sub(self.cut.unwrap_or(0)).min(self.part);
-                self.left -= size;
-                if self.left == 0 {
+                let size = self.remaining.saturating_sub(self.cut.unwrap_or(0)).min(self.part);
+                self.remaining -= size;
+                if self.remaining == 0 {
                     self.step = Step::Hash;
                 }
                 self.block.slice(..usize::try_from(size).unwrap_or_default())
--- a/src/standin/upstream/server.rs
+++ b/src/standin/upstream/server.rs
@@ -1,4 +1,4 @@
-//! The upstream as a server in this process.
+//! The server of an upstream, and the handle that controls it.
 
 use std::future;
 use std::io;
@@ -17,12 +17,12 @@
 use crate::standin::upstream::run;
 use crate::standin::upstream::state;
 
-/// How often a draining upstream looks whether it is idle.
-const LOOK: time::Duration = time::Duration::from_millis(20);
-/// Longest time a draining upstream waits for its calls to end.
-const PATIENCE: time::Duration = time::Duration::from_secs(30);
+/// How often a draining upstream checks whether calls still run.
+const IDLE_POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
+/// How long a draining upstream waits for running calls after the grace time.
+const DRAIN_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-/// An upstream that is bound to its ports and waits for [`Server::serve`].
+/// An upstream that is bound to its ports; [`Server::serve`] runs it.
 #[derive(Debug)]
 pub struct Server {
     calls: tokio::net::TcpListener,
@@ -39,10 +39,10 @@
     control: net::SocketAddr,
 }
 
-/// One open connection.
-struct Open(Arc<state::Shared>);
+/// Counts one open connection until it is dropped.
+struct OpenConnection(Arc<state::Shared>);
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.state().open -= 1;
     }
@@ -62,13 +62,13 @@
         Ok(Self { calls, controls, handle })
     }
 
-    /// Control of this upstream, also while it serves.
+    /// A handle that controls this upstream, also while it serves.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// Serves until `stop` is ready; then drains: announces it, runs calls on for the grace time,
-    /// ends those in flight, withdraws the announcement and returns.
+    /// Serves until `stop` is ready, then drains: it announces the drain, accepts calls for the
+    /// grace time, waits for running calls, withdraws the announcement and returns.
     pub async fn serve(self, stop: impl future::Future<Output = ()>) {
         let handle = self.handle;
         let (closed, closing) = watch::channel(false);
@@ -93,9 +93,9 @@
 
 async fn calls(listener: tokio::net::TcpListener, closing: watch::Receiver<bool>, handle: Handle) {
     let shared = handle.shared;
-    let door = Arc::clone(&shared);
+    let admission = Arc::clone(&shared);
     let serve = move |request| run::serve(Arc::clone(&shared), request);
-    accept::serve(listener, closing, || enter(&door), serve).await;
+    accept::serve(listener, closing, || admit(&admission), serve).await;
 }
 
 async fn controls(
@@ -107,8 +107,8 @@
     accept::serve(listener, closing, || Some(()), serve).await;
 }
 
-/// Takes one more connection unless the upstream is dead or has enough.
-fn enter(shared: &Arc<state::Shared>) -> Option<Open> {
+/// Admits a connection, unless the upstream refuses all or has too many; `None` refuses it.
+fn admit(shared: &Arc<state::Shared>) -> Option<OpenConnection> {
     let mut state = shared.state();
     if state.faults.dead == faults::Dead::Refuse {
         return None;
@@ -118,16 +118,16 @@
         return None;
     }
     state.open += 1;
-    Some(Open(Arc::clone(shared)))
+    Some(OpenConnection(Arc::clone(shared)))
 }
 
 impl Handle {
-    /// Where it takes calls.
+    /// Address of the port for calls.
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// Where it takes control and tells its record.
+    /// Address of the port for control and the record.
     pub fn control_address(&self) -> net::SocketAddr {
         self.control
     }
@@ -148,25 +148,25 @@
         self.shared.state().faults
     }
 
-    /// What it ran so far.
+    /// The calls it has run so far.
     pub fn record(&self) -> record::Record {
         self.shared.state().record.clone()
     }
 
-    /// Announces that it drains and runs calls on for the grace time only.
+    /// Announces its drain and accepts calls for the grace time only.
     pub fn drain(&self) {
         self.shared.drain();
         self.woken.notify_one();
     }
 
-    /// Waits until the grace time is over and no call runs.
+    /// Waits for the grace time and then until no call runs, at most for [`DRAIN_TIMEOUT`].
     async fn idle(&self) {
         tokio::time::sleep(self.shared.options.grace).await;
         let all = async {
             while self.shared.state().running > 0 {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(IDLE_POLL_INTERVAL).await;
             }
         };
-        let _idle = tokio::time::timeout(PATIENCE, all).await;
+        let _idle = tokio::time::timeout(DRAIN_TIMEOUT, all).await;
     }
 }
--- a/src/standin/upstream/state.rs
+++ b/src/standin/upstream/state.rs
@@ -1,4 +1,4 @@
-//! State shared by the connections of one upstream, and its decisions about a call.
+//! State that the connections of an upstream share, and the decision whether a call runs.
 
 use std::collections;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,24 +12,24 @@
 use crate::standin::upstream::record;
 use crate::view;
 
-/// Factor on the time of the first call of a cold upstream.
+/// Factor on the time of a call at the beginning of the cold start.
 const COLD_FACTOR: f64 = 4.0;
 
-/// Numbers of running calls kept for the lagging load endpoint.
-const LOADS: usize = 4096;
+/// Maximum number of samples of the load kept for a load endpoint that reports old state.
+const MAX_LOAD_SAMPLES: usize = 4096;
 
-/// What becomes of a call.
+/// The decision about a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
     /// It runs and takes this long.
     Run(time::Duration),
-    /// It is answered at once with the shed answer.
+    /// It gets the response for shed calls at once.
     Shed,
-    /// It is never answered.
+    /// It never gets a response.
     Hang,
 }
 
-/// What changes while the upstream runs.
+/// The state that changes while the upstream runs.
 #[derive(Debug, Default)]
 pub struct State {
     /// Faults in force.
@@ -40,9 +40,9 @@
     pub running: u32,
     /// Connections open now.
     pub open: u32,
-    /// What was run.
+    /// The calls that were run.
     pub record: record::Record,
-    /// Numbers of running calls of late, with their times, for the lagging load endpoint.
+    /// Recent numbers of running calls with their times, for the fault `lag_ms`.
     pub loads: collections::VecDeque<(clock::Instant, u32)>,
 }
 
@@ -67,7 +67,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Life cycle as it announces it.
+    /// The phase that it announces.
     pub fn phase(&self) -> view::Phase {
         if self.state().drain.is_some() {
             return view::Phase::Draining;
@@ -76,7 +76,7 @@
         if age < self.options.cold { view::Phase::Warming } else { view::Phase::Serving }
     }
 
-    /// Starts to drain, once.
+    /// Starts to drain; further calls have no effect.
     pub fn drain(&self) {
         let now = self.clock.now();
         let unix_ms = self.clock.unix_millis();
@@ -89,55 +89,56 @@
 }
 
 impl State {
-    /// Decides about the call `id` at `path` that arrives at `now` with `left` until its deadline.
+    /// Decides about the call `id` at `path`, which arrives at `now` and has `remaining` time until
+    /// its deadline; `None` if it has no deadline.
     pub fn decide(
         &self,
         options: &options::Options,
         path: &str,
         id: &SmolStr,
-        left: Option<time::Duration>,
+        remaining: Option<time::Duration>,
         now: clock::Instant,
     ) -> Verdict {
         if self.faults.dead != faults::Dead::No {
             return Verdict::Hang;
         }
-        let gone = self.drain.is_some_and(|since| now.since(since) >= options.grace);
+        let drained = self.drain.is_some_and(|since| now.since(since) >= options.grace);
         let full = self.running >= u32::from(options.slots);
-        let late = left.is_some_and(|left| left.is_zero());
-        let unlucky = options::share(options.seed, "shed", id) < self.faults.shed;
-        if gone || full || late || unlucky {
+        let late = remaining.is_some_and(|remaining| remaining.is_zero());
+        let dropped = options::share(options.seed, "shed", id) < self.faults.shed;
+        if drained || full || late || dropped {
             return Verdict::Shed;
         }
         let warm = options.time_of(path, id) + self.faults.slow();
         Verdict::Run(warm.mul_f64(cold_factor(options.cold, now)))
     }
 
-    /// Notes that `running` calls run at `now`.
-    pub fn note_load(&mut self, now: clock::Instant, running: u32) {
-        if self.loads.len() >= LOADS {
+    /// Records that `running` calls run at `now`.
+    pub fn record_load(&mut self, now: clock::Instant, running: u32) {
+        if self.loads.len() >= MAX_LOAD_SAMPLES {
             self.loads.pop_front();
         }
         self.loads.push_back((now, running));
     }
 
-    /// Calls that ran at `at`, as far as is known.
+    /// Number of calls that ran at `at`; 0 if no sample is that old.
     pub fn load_at(&self, at: clock::Instant) -> u32 {
         let last = self.loads.iter().rev().find(|(when, _)| *when <= at);
         last.map_or(0, |(_, running)| *running)
     }
 
-    /// Whether the answer to `id` is cut short.
+    /// Whether the response to `id` is broken off.
     pub fn cuts(&self, options: &options::Options, id: &SmolStr) -> bool {
         options::share(options.seed, "cut", id) < self.faults.cut
     }
 }
 
-/// Factor on the time of a call at `now` by an upstream that is cold for `cold` after its start.
+/// Factor on the time of a call at `now`, when the cold start takes `cold`.
 fn cold_factor(cold: time::Duration, now: clock::Instant) -> f64 {
     let age = now.since(clock::Instant::ZERO);
     if age >= cold {
         return 1.0;
     }
-    let left = 1.0 - age.as_secs_f64() / cold.as_secs_f64();
-    1.0 + (COLD_FACTOR - 1.0) * left
+    let remaining = 1.0 - age.as_secs_f64() / cold.as_secs_f64();
+    1.0 + (COLD_FACTOR - 1.0) * remaining
 }
--- a/src/standin/upstream/tests.rs
+++ b/src/standin/upstream/tests.rs
@@ -15,7 +15,7 @@
 use crate::standin::upstream::faults;
 use crate::standin::upstream::state;
 
-const LIMIT: time::Duration = time::Duration::from_secs(10);
+const TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 fn options() -> upstream::Options {
     let address = net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 0));
@@ -44,9 +44,9 @@
 #[case::empty("/buy?bytes=0", 0)]
 #[case::many_parts("/buy?bytes=100000", 100_000)]
 #[tokio::test]
-async fn an_answer_is_whole_and_its_run_is_recorded(#[case] path: &str, #[case] bytes: u64) {
+async fn a_response_is_complete_and_its_run_is_recorded(#[case] path: &str, #[case] bytes: u64) {
     let handle = start(options()).await;
-    let answer = http::send(handle.address(), post(path, "r-1", b"order"), LIMIT).await.unwrap();
+    let answer = http::send(handle.address(), post(path, "r-1", b"order"), TIMEOUT).await.unwrap();
     let head = answer::check(answer.body(), "r-1", b"order").unwrap();
     assert_eq!(head.bytes, bytes);
     let record = handle.record();
@@ -56,18 +56,18 @@
 }
 
 #[tokio::test]
-async fn a_cut_answer_is_an_error_of_the_client() {
+async fn a_response_broken_off_is_an_error_of_the_client() {
     let handle = start(options()).await;
     handle.control(&faults::Change { cut: Some(1.0), ..Default::default() });
-    let answer = http::send(handle.address(), post("/buy", "r-1", b""), LIMIT).await;
+    let answer = http::send(handle.address(), post("/buy", "r-1", b""), TIMEOUT).await;
     assert!(matches!(answer, Err(http::Error::Exchange(..))), "{answer:?}");
     assert_eq!(handle.record().runs["r-1"].starts, 1);
 }
 
 #[tokio::test]
-async fn a_shed_call_says_so_and_is_not_in_the_record() {
+async fn a_shed_call_is_marked_by_a_header_and_not_recorded_as_run() {
     let handle = start(options().slots(0)).await;
-    let answer = http::send(handle.address(), post("/buy", "r-1", b""), LIMIT).await.unwrap();
+    let answer = http::send(handle.address(), post("/buy", "r-1", b""), TIMEOUT).await.unwrap();
     assert_eq!(answer.status(), ::http::StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(answer.headers()[upstream::HEADER], upstream::SHED);
     assert!(handle.record().runs.is_empty());
@@ -75,11 +75,11 @@
 }
 
 #[tokio::test]
-async fn a_caller_who_leaves_frees_the_slot() {
+async fn a_caller_who_disconnects_frees_the_slot() {
     let handle = start(options().slots(1)).await;
     let slow = post("/buy?ms=60000", "r-1", b"");
-    let left = http::send(handle.address(), slow, time::Duration::from_millis(200)).await;
-    assert!(matches!(left, Err(http::Error::Timeout(_))));
+    let abandoned = http::send(handle.address(), slow, time::Duration::from_millis(200)).await;
+    assert!(matches!(abandoned, Err(http::Error::Timeout(_))));
     for _ in 0..500 {
         if handle.record().runs["r-1"].cancels == 1 {
             break;
@@ -87,71 +87,71 @@
         tokio::time::sleep(time::Duration::from_millis(20)).await;
     }
     assert_eq!(handle.record().runs["r-1"].cancels, 1);
-    let answer = http::send(handle.address(), post("/buy", "r-2", b""), LIMIT).await.unwrap();
+    let answer = http::send(handle.address(), post("/buy", "r-2", b""), TIMEOUT).await.unwrap();
     assert_eq!(answer.status(), ::http::StatusCode::OK);
 }
 
 #[tokio::test]
-async fn a_deadline_ends_a_run() {
+async fn a_run_is_cancelled_at_its_deadline() {
     let handle = start(options()).await;
     let mut request = post("/buy?ms=60000", "r-1", b"");
     request.headers_mut().insert(headers::DEADLINE, ::http::HeaderValue::from_static("30"));
-    let answer = http::send(handle.address(), request, LIMIT).await.unwrap();
+    let answer = http::send(handle.address(), request, TIMEOUT).await.unwrap();
     assert_eq!(answer.status(), ::http::StatusCode::GATEWAY_TIMEOUT);
     assert_eq!(handle.record().runs["r-1"].cancels, 1);
 }
 
 #[tokio::test]
-async fn control_answers_while_the_upstream_hangs() {
+async fn control_responds_while_the_upstream_hangs() {
     let handle = start(options()).await;
     let body = serde_json::json!({ "dead": "hang", "slow_ms": 7 });
     let method = ::http::Method::POST;
     let control = handle.control_address();
-    let changed = http::json(control, method, "/control", &body, LIMIT).await.unwrap();
+    let changed = http::json(control, method, "/control", &body, TIMEOUT).await.unwrap();
     assert_eq!(changed.status(), ::http::StatusCode::OK);
     assert_eq!(handle.faults().dead, faults::Dead::Hang);
     let short = time::Duration::from_millis(100);
     let hung = http::send(handle.address(), post("/buy", "r-1", b""), short).await;
     assert!(matches!(hung, Err(http::Error::Timeout(_))));
-    let runs = http::get(control, "/runs", LIMIT).await.unwrap();
+    let runs = http::get(control, "/runs", TIMEOUT).await.unwrap();
     let record: upstream::record::Record = serde_json::from_slice(runs.body()).unwrap();
     assert!(record.runs.is_empty());
 }
 
 #[tokio::test]
-async fn a_wrong_control_changes_nothing() {
+async fn an_invalid_control_request_changes_nothing() {
     let handle = start(options()).await;
     let body = serde_json::json!({ "slow": 7 });
     let method = ::http::Method::POST;
-    let answer = http::json(handle.control_address(), method, "/control", &body, LIMIT).await;
+    let answer = http::json(handle.control_address(), method, "/control", &body, TIMEOUT).await;
     assert_eq!(answer.unwrap().status(), ::http::StatusCode::BAD_REQUEST);
     assert_eq!(handle.faults(), faults::Faults::default());
 }
 
 #[rstest]
-#[case::not_whole(b"short" as &[u8], answer::Fault::NotWhole)]
-#[case::wrong_hash(&[b'x'; 200], answer::Fault::NotWhole)]
-fn a_broken_body_is_found(#[case] body: &[u8], #[case] fault: answer::Fault) {
+#[case::truncated(b"short" as &[u8], answer::Fault::Corrupt)]
+#[case::wrong_hash(&[b'x'; 200], answer::Fault::Corrupt)]
+fn a_corrupt_body_is_detected(#[case] body: &[u8], #[case] fault: answer::Fault) {
     assert_eq!(answer::check(body, "r-1", b""), Err(fault));
 }
 
 #[rstest]
 #[case::serves(None, None, 0, false)]
 #[case::in_grace(Some(100), None, 0, false)]
-#[case::gone(Some(10), None, 0, true)]
+#[case::after_grace(Some(10), None, 0, true)]
 #[case::full(None, None, 9, true)]
 #[case::late(None, Some(0), 0, true)]
-fn a_call_is_shed_when_it_can_not_run(
+fn a_call_that_can_not_run_is_shed(
     #[case] drained: Option<u64>,
-    #[case] left: Option<u64>,
+    #[case] remaining: Option<u64>,
     #[case] running: u32,
     #[case] shed: bool,
 ) {
     let drain = drained.map(clock::Instant::from_millis);
     let state = state::State { drain, running, ..Default::default() };
     let now = clock::Instant::from_millis(120);
-    let left = left.map(time::Duration::from_millis);
-    let verdict = state.decide(&options(), "/buy", &"r-1".into(), left, now);
+    let remaining = remaining.map(time::Duration::from_millis);
+    let verdict = state.decide(&options(), "/buy", &"r-1".into(), remaining, now);
     assert_eq!(verdict == state::Verdict::Shed, shed);
 }
 
