--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for the platform: log service and upstream.
+//! Stand-ins for the platform's log service and upstreams, and a proxy that injects faults.
 
 mod accept;
 pub mod fault;
 pub mod http;
+pub mod local_mesh;
 pub mod log;
-pub mod small;
 pub mod upstream;
