--- a/soak/src/args.rs
+++ b/soak/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line: which seeds are played, and how large a round is.
+//! The command line: the seeds to play, and the size of a round.
 
 use bpaf::Bpaf;
 
@@ -23,7 +23,7 @@
 }
 
 impl Args {
-    /// How large a round is.
+    /// Size of the fleet and length of a round.
     pub const fn shape(&self) -> series::Shape {
         series::Shape { hosts: self.hosts, length_ms: self.seconds * 1000 }
     }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,40 +1,40 @@
-//! A soak of the real programs: a fleet of processes on loopback, a series of faults drawn from a
-//! seed, callers that go on all the while, and the promises checked against what callers were told
-//! and upstreams ran.
+//! A soak test of the real programs: it starts a fleet of processes on loopback, causes a series of
+//! faults drawn from a seed while callers send load, and checks the project's promises against the
+//! answers that callers received and the calls that upstreams ran.
 //!
-//! Data flows one way: a [`series::Series`] is drawn from a seed, [`stage`] starts the fleet,
-//! [`act`] plays the series on it, [`watch`] looks at the nodes meanwhile, and [`judge`] compares
-//! what callers and upstreams saw. [`round`] joins them.
+//! Data flows one way: a [`series::Series`] is drawn from a seed, [`setup`] starts the fleet,
+//! [`player`] plays the series on it, [`watch`] polls the nodes meanwhile, and [`check`] compares
+//! the results of callers with the records of upstreams. [`round`] runs these steps in order.
 //!
-//! Not covered: clocks that jump, since a process can't be given one from outside.
+//! Clock jumps are not covered, since the clock of a process can't be set from outside.
 
-pub mod act;
 pub mod args;
-pub mod judge;
+pub mod check;
+pub mod player;
 pub mod round;
 pub mod series;
-pub mod stage;
+pub mod setup;
 pub mod watch;
 
 use dandelionspool::bench::fleet;
 use dandelionspool::bench::load;
 
-/// Why a round can't be played. A broken promise is no error, see [`judge::Breach`].
+/// Why a round can't be played. A broken promise is not an error; see [`check::Breach`].
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The fleet can't be started or told what to do.
+    /// The fleet can't be started or controlled.
     #[error(transparent)]
     Fleet(#[from] fleet::Error),
     /// The load can't be sent.
     #[error(transparent)]
     Load(#[from] load::Error),
-    /// A thread ended early.
-    #[error("a thread ended early")]
+    /// A task of the round panicked or was cancelled.
+    #[error("a task of the round panicked or was cancelled")]
     Ended(#[from] tokio::task::JoinError),
     /// A file can't be written.
     #[error(transparent)]
     File(#[from] std::io::Error),
-    /// A publication was refused.
-    #[error("the program that publishes ended with {0}")]
+    /// The publish command failed; the value is its exit code.
+    #[error("the publish command failed with exit code {0}")]
     Publish(i32),
 }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,7 +1,7 @@
 //! `dandelionspool-soak`: plays series of faults on the real programs.
 //!
-//! One line of JSON a seed goes to standard output; the code is 1 when a promise was broken and 2
-//! when a round could not be played.
+//! Writes one line of JSON for each seed to standard output. The exit code is 1 if a promise was
+//! broken and 2 if a round could not be played.
 
 use std::process;
 
@@ -21,16 +21,17 @@
     }
 }
 
-/// Plays the rounds on this thread: the processes of a fleet end with the thread that started them.
+/// Plays the rounds on this thread, since the processes of a fleet end with the thread that started
+/// them. Returns whether every promise was kept.
 fn run(args: &args::Args) -> eyre::Result<bool> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
-        let mut end = unix::signal(unix::SignalKind::terminate())?;
+        let mut terminate = unix::signal(unix::SignalKind::terminate())?;
         let mut kept = true;
         for seed in args.from..args.from + args.seeds {
             let report = tokio::select! {
                 report = round::play(seed, args.shape()) => report?,
-                _ = end.recv() => eyre::bail!("ended by a signal during seed {seed}"),
+                _ = terminate.recv() => eyre::bail!("terminated by a signal during seed {seed}"),
             };
             kept &= report.breaches.is_empty();
             println!("{}", serde_json::to_string(&report)?);
--- a/soak/src/round.rs
+++ b/soak/src/round.rs
@@ -1,4 +1,4 @@
-//! One round: a fleet, a series and its judgement.
+//! One round: plays a series on a fresh fleet and checks the promises.
 
 use std::time;
 
@@ -7,29 +7,29 @@
 use serde::Serialize;
 
 use crate::Error;
-use crate::act;
-use crate::judge;
+use crate::check;
+use crate::player;
 use crate::series;
-use crate::stage;
+use crate::setup;
 use crate::watch;
 
-/// Longest until every node runs the last version after the last fault.
-const SETTLE: time::Duration = time::Duration::from_secs(20);
+/// Time after the last fault within which every node has to run the last version.
+const CONVERGENCE_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
-/// Time between two looks at a node that is waited for.
-const LOOK: time::Duration = time::Duration::from_millis(100);
+/// Time between two status requests to a node that does not run the last version yet.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// What a round showed.
+/// Result of a round.
 #[derive(Debug, Serialize)]
 pub struct Report {
     /// The series that was played.
     pub series: series::Series,
-    /// Calls made, repeats by callers among them.
+    /// Number of calls made, including retries by callers.
     pub calls: usize,
-    /// Of them, served.
+    /// Number of these calls that were served.
     pub served: usize,
     /// Promises that were broken.
-    pub breaches: Vec<judge::Breach>,
+    pub breaches: Vec<check::Breach>,
 }
 
 /// Plays the series of `seed`.
@@ -39,29 +39,30 @@
 /// The round can't be played; nothing is known of the promises then.
 pub async fn play(seed: u64, shape: series::Shape) -> Result<Report, Error> {
     let series = series::Series::draw(seed, shape);
-    let mut fleet = stage::start(shape).await?;
-    let (stop, stopped) = tokio::sync::oneshot::channel();
-    let watch = tokio::spawn(watch::Watch::new(&fleet).run(stopped));
-    let calls = tokio::spawn(load::drive(stage::load(&fleet, &series)));
-    let mut player = act::Player::new(1);
+    let mut fleet = setup::start(shape).await?;
+    let (stop, stop_receiver) = tokio::sync::oneshot::channel();
+    let watch = tokio::spawn(watch::Watch::new(&fleet).run(stop_receiver));
+    let calls = tokio::spawn(load::drive(setup::load(&fleet, &series)));
+    let mut player = player::Player::new(1);
     player.play(&mut fleet, &series).await?;
     let tally = calls.await??;
-    let mut breaches = settle(&mut fleet, player.version).await;
-    // The watch may have ended by itself only if it panicked.
+    let mut breaches = await_convergence(&mut fleet, player.version).await;
+    // Sending fails only if the watch has panicked, which the next line reports.
     let _ = stop.send(());
     breaches.extend(watch.await?);
     let mut records = player.records;
     for host in 0..shape.hosts {
-        records.push(act::record(&fleet, host).await?);
+        records.push(player::record(&fleet, host).await?);
     }
-    breaches.extend(judge::judge(&series, &tally.told, &records));
+    breaches.extend(check::check(&series, &tally.told, &records));
     let served = tally.told.iter().filter(|t| t.outcome == load::Outcome::Served).count();
     Ok(Report { series, calls: tally.told.len(), served, breaches })
 }
 
-/// Waits until every node is ready and runs `version` or a later one; gives those that don't.
-async fn settle(fleet: &mut fleet::Fleet, version: u64) -> Vec<judge::Breach> {
-    let until = time::Instant::now() + SETTLE;
+/// Waits until every node runs `version` or a later one and answers. Returns a breach for each node
+/// that does not in time.
+async fn await_convergence(fleet: &mut fleet::Fleet, version: u64) -> Vec<check::Breach> {
+    let deadline = time::Instant::now() + CONVERGENCE_TIMEOUT;
     let mut behind = Vec::new();
     for host in 0..fleet.hosts().len() {
         loop {
@@ -70,11 +71,11 @@
                 Ok(status) => format!("version {}", status["version"]),
                 Err(error) => error.to_string(),
             };
-            if time::Instant::now() >= until {
-                behind.push(judge::Breach::Behind { host, state });
+            if time::Instant::now() >= deadline {
+                behind.push(check::Breach::Behind { host, state });
                 break;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
     behind
--- a/soak/src/series.rs
+++ b/soak/src/series.rs
@@ -1,183 +1,199 @@
-//! Series of faults drawn from a seed.
+//! Series of faults, drawn pseudo-randomly from a seed.
 
 use rand::RngExt as _;
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
 use serde::Serialize;
 
-/// First fault, from the start of the calls, in milliseconds: connections are open by then.
-const FIRST_MS: u64 = 500;
+/// Time from the start of the calls to the first fault: callers have open connections by then.
+const FIRST_FAULT_MS: u64 = 500;
 
-/// One series in this many has planned work only, and has to cut nothing.
-const PLANNED: u64 = 4;
+/// One series in this many has planned work only, during which no call may be cut.
+const PLANNED_ONE_IN: u64 = 4;
 
-/// Longest that a fault lasts, in milliseconds: beyond the time in which a silent connection or host
-/// is given up (3 s).
-const LONGEST_MS: u64 = 4000;
+/// Longest duration of a fault: more than the 3 s after which a node closes a silent connection or
+/// considers a silent host failed.
+const MAX_FAULT_MS: u64 = 4000;
 
-/// Time between a planned stop and the next start, in milliseconds: more than a stop takes.
-const STOP_MS: u64 = 4000;
+/// Time between a planned stop of a node and its next start: longer than a stop takes.
+const STOP_TO_START_MS: u64 = 4000;
 
-/// Mean time between two faults, in milliseconds; with their length some overlap at any moment.
-const GAP_MS: u64 = 700;
+/// Mean time between the starts of two faults: shorter than most faults, so that some overlap.
+const MEAN_GAP_MS: u64 = 700;
 
-/// How large a round is.
+/// Size of the fleet and length of a round.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
     /// Hosts, each with an upstream and a node.
     pub hosts: usize,
-    /// Time over which faults begin, in milliseconds.
+    /// Time during which faults start, in milliseconds.
     pub length_ms: u64,
 }
 
-/// What goes wrong on the way to a host.
+/// A network fault between a host and the others.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Net {
-    /// Connections are reset and refused, datagrams lost.
+pub enum NetworkFault {
+    /// Connections to the host are reset and refused, datagrams lost.
     Cut,
-    /// Connections stay open and carry nothing.
+    /// Connections between nodes to the host stay open but transfer no data.
     Silent,
-    /// Datagrams from the host are lost, others arrive.
+    /// Datagrams from the host are lost; those to it arrive.
     OneWay,
-    /// Delay, loss, repeats.
+    /// Delay with jitter, loss and duplication.
     Rough,
-    /// Few bytes a second.
+    /// Bandwidth is low.
     Thin,
-    /// Connections are reset after some answers.
+    /// Connections are reset after a number of bytes.
     Short,
 }
 
-/// How the log service fails.
+/// A fault of the log service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Log {
+pub enum LogFault {
     /// Answers 503.
     Refuse,
     /// Closes connections.
     Close,
-    /// Answers nothing.
+    /// Does not answer.
     Hang,
-    /// Answers late.
+    /// Answers with a delay.
     Slow,
-    /// Loses the answers to appends that took effect.
+    /// Loses the answers to some appends, though the appends took effect.
     Lose,
 }
 
-/// One fault, or the end of one.
+/// A step's action: a fault, the end of one, or planned work. The `usize` is the host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Act {
     /// Kills a node.
     Kill(usize),
-    /// Asks a node to stop as planned.
+    /// Asks a node to stop gracefully.
     Stop(usize),
-    /// Starts a node, after killing what is left of the one before.
+    /// Starts a node that was killed or stopped; kills its former process if that still runs.
     Start(usize),
     /// Pauses a node.
     Pause(usize),
-    /// Resumes it.
+    /// Resumes a paused node.
     Resume(usize),
     /// An upstream crashes and starts again.
     Crash(usize),
     /// An upstream announces its drain, ends and starts again.
     Drain(usize),
-    /// An upstream turns slow by so many milliseconds a call; 0 ends it.
+    /// Slows down an upstream by a number of milliseconds a call; 0 ends this.
     Slow(usize, u64),
-    /// An upstream sheds so many calls in a hundred; 0 ends it.
+    /// An upstream refuses a percentage of its calls; 0 ends this.
     Shed(usize, u8),
-    /// An upstream cuts so many answers in a hundred; 0 ends it.
-    Garble(usize, u8),
-    /// A way fails.
-    Break(usize, Net),
-    /// It is well again.
-    Mend(usize),
-    /// The log service fails.
-    Outage(Log),
-    /// It is well again.
+    /// An upstream truncates a percentage of its answers; 0 ends this.
+    #[serde(rename = "garble")]
+    Truncate(usize, u8),
+    /// Starts a network fault.
+    Break(usize, NetworkFault),
+    /// Ends the network fault of a host.
+    #[serde(rename = "mend")]
+    Repair(usize),
+    /// Starts a fault of the log service.
+    Outage(LogFault),
+    /// Ends the faults of the log service.
     Restore,
-    /// The operator publishes a version.
+    /// The operator publishes a new version of the configuration.
     Publish,
 }
 
-/// An act and when it happens.
+/// An act and the time at which it is carried out.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub struct Step {
-    /// From the start of the calls, in milliseconds.
+    /// Time since the start of the calls, in milliseconds.
     pub at_ms: u64,
-    /// What happens.
+    /// The action to carry out.
     pub act: Act,
 }
 
-/// A series of acts in the order of their times.
+/// Acts of one round, sorted by time.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Series {
-    /// What it was drawn from.
+    /// Seed that the series was drawn from.
     pub seed: u64,
-    /// Whether it has planned work only.
+    /// Whether the series has only planned work: graceful stops, drains and publications.
     pub planned: bool,
-    /// The acts.
+    /// The acts with their times.
     pub steps: Vec<Step>,
 }
 
 impl Series {
-    /// The series of `seed`; the same for the same seed and shape.
+    /// Draws the series of `seed`. The same seed and shape give the same series.
     pub fn draw(seed: u64, shape: Shape) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let planned = seed.is_multiple_of(PLANNED);
+        let planned = seed.is_multiple_of(PLANNED_ONE_IN);
         let mut steps = Vec::new();
-        let mut at_ms = FIRST_MS;
+        let mut at_ms = FIRST_FAULT_MS;
         while at_ms < shape.length_ms {
             let host = rng.random_range(0..shape.hosts);
-            let pair = if planned { plan(&mut rng, host) } else { fault(&mut rng, host) };
+            let pair =
+                if planned { draw_planned(&mut rng, host) } else { draw_fault(&mut rng, host) };
             steps.push(Step { at_ms, act: pair.0 });
             steps.extend(pair.1.map(|(after, act)| Step { at_ms: at_ms + after, act }));
-            at_ms += rng.random_range(1..=2 * GAP_MS);
+            at_ms += rng.random_range(1..=2 * MEAN_GAP_MS);
         }
         steps.sort_by_key(|step| step.at_ms);
         Self { seed, planned, steps }
     }
 
-    /// When the last act happens, in milliseconds.
+    /// Time of the last act since the start of the calls, in milliseconds.
     pub fn end_ms(&self) -> u64 {
         self.steps.last().map_or(0, |step| step.at_ms)
     }
 }
 
-/// An act, and the one that ends it after so many milliseconds.
+/// An act, and for an act that lasts the delay in milliseconds and the act that ends it.
 type Pair = (Act, Option<(u64, Act)>);
 
-fn plan(rng: &mut SmallRng, host: usize) -> Pair {
+fn draw_planned(rng: &mut SmallRng, host: usize) -> Pair {
     match rng.random_range(0..3) {
-        0 => (Act::Stop(host), Some((STOP_MS, Act::Start(host)))),
+        0 => (Act::Stop(host), Some((STOP_TO_START_MS, Act::Start(host)))),
         1 => (Act::Drain(host), None),
         _ => (Act::Publish, None),
     }
 }
 
-fn fault(rng: &mut SmallRng, host: usize) -> Pair {
-    let long = rng.random_range(100..LONGEST_MS);
+fn draw_fault(rng: &mut SmallRng, host: usize) -> Pair {
+    let duration_ms = rng.random_range(100..MAX_FAULT_MS);
     match rng.random_range(0..12) {
-        0 => (Act::Kill(host), Some((long, Act::Start(host)))),
-        1 => (Act::Stop(host), Some((STOP_MS, Act::Start(host)))),
-        2 => (Act::Pause(host), Some((long, Act::Resume(host)))),
+        0 => (Act::Kill(host), Some((duration_ms, Act::Start(host)))),
+        1 => (Act::Stop(host), Some((STOP_TO_START_MS, Act::Start(host)))),
+        2 => (Act::Pause(host), Some((duration_ms, Act::Resume(host)))),
         3 => (Act::Crash(host), None),
         4 => (Act::Drain(host), None),
-        5 => (Act::Slow(host, rng.random_range(50..800)), Some((long, Act::Slow(host, 0)))),
-        6 => (Act::Shed(host, rng.random_range(10..90)), Some((long, Act::Shed(host, 0)))),
-        7 => (Act::Garble(host, rng.random_range(5..50)), Some((long, Act::Garble(host, 0)))),
-        8 | 9 => (Act::Break(host, net(rng)), Some((long, Act::Mend(host)))),
-        10 => (Act::Outage(log(rng)), Some((long, Act::Restore))),
+        5 => (Act::Slow(host, rng.random_range(50..800)), Some((duration_ms, Act::Slow(host, 0)))),
+        6 => (Act::Shed(host, rng.random_range(10..90)), Some((duration_ms, Act::Shed(host, 0)))),
+        7 => (
+            Act::Truncate(host, rng.random_range(5..50)),
+            Some((duration_ms, Act::Truncate(host, 0))),
+        ),
+        8 | 9 => {
+            (Act::Break(host, draw_network_fault(rng)), Some((duration_ms, Act::Repair(host))))
+        }
+        10 => (Act::Outage(draw_log_fault(rng)), Some((duration_ms, Act::Restore))),
         _ => (Act::Publish, None),
     }
 }
 
-fn net(rng: &mut SmallRng) -> Net {
-    const ALL: [Net; 6] = [Net::Cut, Net::Silent, Net::OneWay, Net::Rough, Net::Thin, Net::Short];
+fn draw_network_fault(rng: &mut SmallRng) -> NetworkFault {
+    const ALL: [NetworkFault; 6] = [
+        NetworkFault::Cut,
+        NetworkFault::Silent,
+        NetworkFault::OneWay,
+        NetworkFault::Rough,
+        NetworkFault::Thin,
+        NetworkFault::Short,
+    ];
     ALL[rng.random_range(0..ALL.len())]
 }
 
-fn log(rng: &mut SmallRng) -> Log {
-    const ALL: [Log; 5] = [Log::Refuse, Log::Close, Log::Hang, Log::Slow, Log::Lose];
+fn draw_log_fault(rng: &mut SmallRng) -> LogFault {
+    const ALL: [LogFault; 5] =
+        [LogFault::Refuse, LogFault::Close, LogFault::Hang, LogFault::Slow, LogFault::Lose];
     ALL[rng.random_range(0..ALL.len())]
 }
--- a/soak/src/stage.rs
+++ b/soak/src/setup.rs
@@ -1,4 +1,4 @@
-//! The fleet, its configurations and its callers.
+//! Sets up a round: the fleet, its configurations and the load of its callers.
 
 use std::fs;
 use std::path;
@@ -10,20 +10,20 @@
 use crate::Error;
 use crate::series;
 
-/// Name of the one service.
+/// Name of the only service.
 pub const SERVICE: &str = "shop";
 
-/// Attempts that one call may have; more runs of one call break the promise.
-pub const ATTEMPTS: u32 = 3;
+/// Attempts that one call may have. A call that runs more often breaks a promise.
+pub const MAX_ATTEMPTS: u32 = 3;
 
-/// Reads a second: enough that each host has some under way at any moment.
-const BROWSE_RATE: f64 = 60.0;
-/// Orders a second, a half of them with a key.
-const ORDER_RATE: f64 = 40.0;
-/// Bytes of an order: more than fits one window between nodes.
+/// Reads a second: enough that each host has some in flight at any time.
+const BROWSES_PER_S: f64 = 60.0;
+/// Orders a second, half of them with an idempotency key.
+const ORDERS_PER_S: f64 = 40.0;
+/// Size of an order: more than one flow control window of a connection between nodes.
 const ORDER_BYTES: usize = 20_000;
-/// Time that callers go on after the last act, in seconds.
-const REST_S: f64 = 2.0;
+/// Time that callers continue after the last act, in seconds.
+const LOAD_AFTER_LAST_ACT_S: f64 = 2.0;
 
 /// Starts the fleet of `shape` with its first configuration.
 ///
@@ -32,8 +32,9 @@
 /// A process can't be started or isn't ready in time.
 pub async fn start(shape: series::Shape) -> Result<fleet::Fleet, Error> {
     let dir = std::env::temp_dir();
-    let file = dir.join(format!("dandelionspool-soak-{}-{}.json", std::process::id(), name()));
-    write(&file, 0)?;
+    let file =
+        dir.join(format!("dandelionspool-soak-{}-{}.json", std::process::id(), file_number()));
+    write_configuration(&file, 0)?;
     let group = fleet::Group::new(SERVICE, shape.hosts).mean_ms(5.0).grace_ms(500);
     let plan = fleet::Plan::new(fleet::Programs::beside()?);
     let plan = plan.group(group).faults().configuration(&file);
@@ -42,50 +43,50 @@
     Ok(fleet?)
 }
 
-/// A number that no other file of this process has.
-fn name() -> u64 {
+/// A number that differs for each configuration file of this process.
+fn file_number() -> u64 {
     static NEXT: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
     NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed)
 }
 
-/// Publishes the configuration number `turn` on top of version `base`; gives the version it became.
+/// Publishes the configuration with the given number, based on version `base`. Returns its version.
 ///
 /// # Errors
 ///
-/// The program that publishes can't be run, or ends with a failure.
-pub async fn publish(fleet: &fleet::Fleet, base: u64, turn: u64) -> Result<u64, Error> {
-    let file = fleet.dir().join(format!("mesh-{turn}.json"));
-    write(&file, turn)?;
+/// The publish command can't be run, or fails.
+pub async fn publish(fleet: &fleet::Fleet, base: u64, number: u64) -> Result<u64, Error> {
+    let file = fleet.dir().join(format!("mesh-{number}.json"));
+    write_configuration(&file, number)?;
     let done = fleet.publish(&file, base, &["--json", "--wait-ms", "20000"]).await?;
     done.version().ok_or(Error::Publish(done.code))
 }
 
-/// The callers' load on every host of `fleet` while `series` is played.
+/// The load that callers send to every host of `fleet` while `series` is played.
 pub fn load(fleet: &fleet::Fleet, series: &series::Series) -> load::Plan {
-    // Under planned work callers reach the nodes themselves: the proxy takes connections for a node
-    // that has ended, and closes them.
+    // In a planned series callers connect to the nodes directly: the fault proxy would accept
+    // connections for a node that has stopped, and then close them.
     let host = |host: &fleet::Host| if series.planned { host.bound } else { host.id };
     let targets = fleet.hosts().iter().map(|h| host(h).call_addr()).collect();
-    let order = |name| load::Flow::new(name, "POST", "/orders?bytes=500", ORDER_RATE / 2.0);
+    let order = |name| load::Flow::new(name, "POST", "/orders?bytes=500", ORDERS_PER_S / 2.0);
     let order = |name| order(name).body(ORDER_BYTES).tries(3, 100).deadline_ms(1500);
     load::Plan::new(targets)
-        .flow(load::Flow::new("browse", "GET", "/browse?bytes=5000", BROWSE_RATE))
+        .flow(load::Flow::new("browse", "GET", "/browse?bytes=5000", BROWSES_PER_S))
         .flow(order("order"))
         .flow(order("keyed").keyed(0.2))
-        .seconds(series.end_ms() as f64 / 1000.0 + REST_S)
+        .seconds(series.end_ms() as f64 / 1000.0 + LOAD_AFTER_LAST_ACT_S)
         .seed(series.seed)
         .keep()
 }
 
-fn write(file: &path::Path, turn: u64) -> Result<(), Error> {
+fn write_configuration(file: &path::Path, number: u64) -> Result<(), Error> {
     let kind = |name, idempotent, body_bytes| {
         json!({ "name": name, "weight": 1, "idempotent": idempotent, "body_bytes": body_bytes,
-                "attempts": ATTEMPTS })
+                "attempts": MAX_ATTEMPTS })
     };
     let route = |name, path, method| json!({ "name": name, "path": path, "methods": [method], "service": SERVICE, "kind": name });
     let mesh = json!({
         "format": 3,
-        "organisations": [{ "name": "sellers" }, { "name": format!("organisation-{turn}") }],
+        "organisations": [{ "name": "sellers" }, { "name": format!("organisation-{number}") }],
         "services": [{
             "name": SERVICE, "organisation": "sellers", "timeout_ms": 1500, "queue": 8,
             "kinds": [kind("browse", true, 1000), kind("order", false, 100_000)]
--- a/soak/src/watch.rs
+++ b/soak/src/watch.rs
@@ -1,4 +1,4 @@
-//! Looks at the nodes of a fleet while a series is played.
+//! Polls the versions of a fleet's nodes while a series is played.
 
 use std::collections;
 use std::net;
@@ -7,28 +7,28 @@
 use dandelionspool::bench::fleet;
 use dandelionspool::standin::http;
 
-use crate::judge;
+use crate::check;
 
-/// Time between two looks at every node.
-const LOOK: time::Duration = time::Duration::from_millis(100);
+/// Time between two polls of all nodes.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// Longest that one node is waited for; a paused one does not answer.
-const PATIENCE: time::Duration = time::Duration::from_millis(150);
+/// Timeout of a status request; a paused node does not answer.
+const STATUS_TIMEOUT: time::Duration = time::Duration::from_millis(150);
 
-/// The nodes and what each ran when it was seen last.
+/// The nodes and the last status of each.
 #[derive(Debug, Default)]
 pub struct Watch {
     nodes: Vec<net::SocketAddr>,
-    seen: collections::HashMap<net::SocketAddr, Seen>,
-    breaches: Vec<judge::Breach>,
+    last: collections::HashMap<net::SocketAddr, Status>,
+    breaches: Vec<check::Breach>,
 }
 
-/// What a node ran in one life of its process.
+/// Version that a node reported, and the incarnation of its process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Seen {
-    /// The life.
+pub struct Status {
+    /// Incarnation of the node's process; a restart starts a new one.
     pub incarnation: u64,
-    /// The version.
+    /// Version that the node runs.
     pub version: u64,
 }
 
@@ -39,38 +39,39 @@
         Self { nodes, ..Self::default() }
     }
 
-    /// Looks at the nodes until `stop` is told; gives what was broken.
-    pub async fn run(mut self, mut stop: tokio::sync::oneshot::Receiver<()>) -> Vec<judge::Breach> {
+    /// Polls the nodes until `stop` receives a message. Returns the breaches found.
+    pub async fn run(mut self, mut stop: tokio::sync::oneshot::Receiver<()>) -> Vec<check::Breach> {
         while stop.try_recv() == Err(tokio::sync::oneshot::error::TryRecvError::Empty) {
             for node in self.nodes.clone() {
-                if let Some(seen) = look(node).await {
-                    self.note(node, seen);
+                if let Some(status) = fetch_status(node).await {
+                    self.record(node, status);
                 }
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         self.breaches
     }
 
-    /// Takes in what `node` says.
-    pub fn note(&mut self, node: net::SocketAddr, seen: Seen) {
-        let before = self.seen.insert(node, seen);
-        let back = before.filter(|b| b.incarnation == seen.incarnation && b.version > seen.version);
-        if let Some(before) = back {
-            let (from, to) = (before.version, seen.version);
-            self.breaches.push(judge::Breach::Backwards { node, from, to });
+    /// Records a status of `node`, and a breach if its version is older than the last one.
+    pub fn record(&mut self, node: net::SocketAddr, status: Status) {
+        let before = self.last.insert(node, status);
+        let regressed =
+            before.filter(|b| b.incarnation == status.incarnation && b.version > status.version);
+        if let Some(before) = regressed {
+            let (from, to) = (before.version, status.version);
+            self.breaches.push(check::Breach::VersionRegressed { node, from, to });
         }
     }
 
-    /// What was broken so far.
-    pub fn breaches(&self) -> &[judge::Breach] {
+    /// Breaches found so far.
+    pub fn breaches(&self) -> &[check::Breach] {
         &self.breaches
     }
 }
 
-async fn look(node: net::SocketAddr) -> Option<Seen> {
-    let answer = http::get(node, "/status", PATIENCE).await.ok()?;
+async fn fetch_status(node: net::SocketAddr) -> Option<Status> {
+    let answer = http::get(node, "/status", STATUS_TIMEOUT).await.ok()?;
     let status: serde_json::Value = serde_json::from_slice(answer.body()).ok()?;
     let number = |name: &str| status[name].as_u64();
-    Some(Seen { incarnation: number("incarnation")?, version: number("version")? })
+    Some(Status { incarnation: number("incarnation")?, version: number("version")? })
 }
--- a/soak/tests/promises.rs
+++ b/soak/tests/promises.rs
@@ -1,18 +1,18 @@
-//! The judge finds each broken promise, and finds nothing where none is.
+//! The check finds each kind of broken promise, and reports nothing where none is broken.
 
 use std::net;
 use std::time;
 
 use dandelionspool::bench::load;
 use dandelionspool::standin::upstream::record;
-use dandelionspool_soak::judge;
+use dandelionspool_soak::check;
 use dandelionspool_soak::series;
 use rstest::rstest;
 use smol_str::SmolStr;
 
 const SHAPE: series::Shape = series::Shape { hosts: 5, length_ms: 8000 };
 
-fn told(id: &str, outcome: load::Outcome) -> load::Told {
+fn result(id: &str, outcome: load::Outcome) -> load::Told {
     load::Told {
         id: SmolStr::new(id),
         key: None,
@@ -32,92 +32,97 @@
     record
 }
 
-fn judged(
+fn breaches_of(
     seed: u64,
     outcomes: &[(&str, load::Outcome)],
     runs: &[(&str, &str)],
-) -> Vec<judge::Breach> {
+) -> Vec<check::Breach> {
     let series = series::Series::draw(seed, SHAPE);
-    let mut all: Vec<_> = outcomes.iter().map(|(id, outcome)| told(id, *outcome)).collect();
-    all.push(told("fine", load::Outcome::Served));
-    judge::judge(&series, &all, &[record(runs), record(&[("fine", "/browse")])])
+    let mut all: Vec<_> = outcomes.iter().map(|(id, outcome)| result(id, *outcome)).collect();
+    all.push(result("fine", load::Outcome::Served));
+    check::check(&series, &all, &[record(runs), record(&[("fine", "/browse")])])
 }
 
 #[test]
 fn a_round_without_a_fault_breaks_no_promise() {
     let outcomes = [("a", load::Outcome::Served), ("b", load::Outcome::NotRun)];
-    assert_eq!(judged(4, &outcomes, &[("a", "/orders")]), []);
+    assert_eq!(breaches_of(4, &outcomes, &[("a", "/orders")]), []);
 }
 
 #[rstest]
-#[case::told_not_run(load::Outcome::NotRun)]
+#[case::not_run(load::Outcome::NotRun)]
 #[case::could_not_connect(load::Outcome::Connect)]
-fn a_call_that_ran_and_was_told_not_to_is_a_lie(#[case] outcome: load::Outcome) {
-    let breaches = judged(1, &[("a", outcome)], &[("a", "/orders")]);
-    assert!(matches!(breaches[..], [judge::Breach::Lie { .. }]), "{breaches:?}");
+fn a_call_that_ran_with_an_outcome_of_not_run_is_found(#[case] outcome: load::Outcome) {
+    let breaches = breaches_of(1, &[("a", outcome)], &[("a", "/orders")]);
+    assert!(matches!(breaches[..], [check::Breach::FalseNotRun { .. }]), "{breaches:?}");
 }
 
 #[test]
 fn an_order_that_ran_twice_is_found_and_a_read_is_not() {
     let twice = [("a", "/orders"), ("a", "/orders"), ("b", "/browse"), ("b", "/browse")];
-    let breaches = judged(1, &[("a", load::Outcome::Served)], &twice);
-    assert!(matches!(&breaches[..], [judge::Breach::Twice { runs: 2, .. }]), "{breaches:?}");
+    let breaches = breaches_of(1, &[("a", load::Outcome::Served)], &twice);
+    assert!(matches!(&breaches[..], [check::Breach::RanTwice { runs: 2, .. }]), "{breaches:?}");
 }
 
 #[test]
 fn a_read_with_too_many_attempts_is_found() {
-    let breaches = judged(1, &[], &[("b", "/browse"); 4]);
-    assert!(matches!(&breaches[..], [judge::Breach::Attempts { runs: 4, .. }]), "{breaches:?}");
+    let breaches = breaches_of(1, &[], &[("b", "/browse"); 4]);
+    assert!(
+        matches!(&breaches[..], [check::Breach::TooManyAttempts { runs: 4, .. }]),
+        "{breaches:?}"
+    );
 }
 
 #[test]
-fn an_answer_nobody_made_and_one_that_is_not_whole_are_found() {
+fn an_answer_to_a_call_that_never_ran_and_a_wrong_answer_are_found() {
     let outcomes = [("a", load::Outcome::Served), ("b", load::Outcome::Wrong)];
-    let breaches = judged(1, &outcomes, &[]);
-    let wanted =
-        matches!(&breaches[..], [judge::Breach::Invented { .. }, judge::Breach::Wrong { .. }]);
-    assert!(wanted, "{breaches:?}");
+    let breaches = breaches_of(1, &outcomes, &[]);
+    let expected = matches!(
+        &breaches[..],
+        [check::Breach::NeverRan { .. }, check::Breach::WrongAnswer { .. }]
+    );
+    assert!(expected, "{breaches:?}");
 }
 
 #[rstest]
 #[case::planned(4, 1)]
 #[case::with_faults(1, 0)]
-fn planned_work_alone_may_cut_nothing(#[case] seed: u64, #[case] wanted: usize) {
-    assert_eq!(series::Series::draw(seed, SHAPE).planned, wanted == 1);
+fn planned_work_alone_may_cut_off_no_call(#[case] seed: u64, #[case] expected: usize) {
+    assert_eq!(series::Series::draw(seed, SHAPE).planned, expected == 1);
     let ran = [("a", "/orders")];
-    assert_eq!(judged(seed, &[("a", load::Outcome::Broken)], &ran).len(), wanted);
-    assert_eq!(judged(seed, &[("a", load::Outcome::Unknown)], &[]).len(), wanted);
-    let unread = judged(seed, &[("a", load::Outcome::Broken)], &[]);
-    assert_eq!(unread, [], "it crossed the close of its connection");
+    assert_eq!(breaches_of(seed, &[("a", load::Outcome::Broken)], &ran).len(), expected);
+    assert_eq!(breaches_of(seed, &[("a", load::Outcome::Unknown)], &[]).len(), expected);
+    let unread = breaches_of(seed, &[("a", load::Outcome::Broken)], &[]);
+    assert_eq!(unread, [], "it was sent while its idle connection was closed");
 }
 
 #[test]
-fn a_call_long_after_a_drain_is_found() {
+fn a_call_that_starts_long_after_a_drain_is_found() {
     let mut record = record(&[("fine", "/browse")]);
     record.drain_unix_ms = Some(100);
     let series = series::Series::draw(1, SHAPE);
-    let breaches = judge::judge(&series, &[told("fine", load::Outcome::Served)], &[record]);
-    assert_eq!(breaches, [judge::Breach::Drained { after_ms: 900 }]);
+    let breaches = check::check(&series, &[result("fine", load::Outcome::Served)], &[record]);
+    assert_eq!(breaches, [check::Breach::StartAfterDrain { after_ms: 900 }]);
 }
 
 #[test]
-fn a_round_that_serves_nothing_shows_nothing() {
+fn a_round_that_serves_no_call_is_reported() {
     let series = series::Series::draw(1, SHAPE);
-    let breaches = judge::judge(&series, &[told("a", load::Outcome::NotRun)], &[]);
-    assert_eq!(breaches, [judge::Breach::Unserved { served: 0, made: 1 }]);
+    let breaches = check::check(&series, &[result("a", load::Outcome::NotRun)], &[]);
+    assert_eq!(breaches, [check::Breach::TooFewServed { served: 0, made: 1 }]);
 }
 
 #[test]
-fn a_node_that_goes_back_within_one_life_is_found() {
+fn a_node_that_goes_back_to_an_older_version_without_a_restart_is_found() {
     use dandelionspool_soak::watch;
     let node = net::SocketAddr::from(([127, 0, 0, 1], 7101));
     let mut watch = watch::Watch::default();
-    let seen = |incarnation, version| watch::Seen { incarnation, version };
-    watch.note(node, seen(1, 5));
-    watch.note(node, seen(2, 3));
-    assert_eq!(watch.breaches(), [], "a new life");
-    watch.note(node, seen(2, 2));
-    assert_eq!(watch.breaches(), [judge::Breach::Backwards { node, from: 3, to: 2 }]);
+    let status = |incarnation, version| watch::Status { incarnation, version };
+    watch.record(node, status(1, 5));
+    watch.record(node, status(2, 3));
+    assert_eq!(watch.breaches(), [], "a new incarnation may start with an older version");
+    watch.record(node, status(2, 2));
+    assert_eq!(watch.breaches(), [check::Breach::VersionRegressed { node, from: 3, to: 2 }]);
 }
 
 #[test]
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -77,7 +77,7 @@
 
 impl std::fmt::Debug for Attempt {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Trip").field("choice", &self.choice).finish_non_exhaustive()
+        f.debug_struct("Attempt").field("choice", &self.choice).finish_non_exhaustive()
     }
 }
 
--- a/src/proxy/internode.rs
+++ b/src/proxy/internode.rs
@@ -189,11 +189,7 @@
     now: clock::Instant,
 ) -> Option<http::Request<upload::Upload>> {
     let key = u128::from_le_bytes(id.key.0);
-    let uri = format!(
-        "http://{NO_HOST}{HELD}{key:032x}/{:016x}/{print}",
-        id.number,
-        print = request_hash
-    );
+    let uri = format!("http://{NO_HOST}{HELD}{key:032x}/{:016x}/{request_hash}", id.number);
     let remaining = remaining(deadline, now);
     let request = http::Request::builder().uri(uri).header(headers::DEADLINE, remaining);
     request.body(upload::Upload::Buffered(None)).ok()
