--- a/benches/call_path.rs
+++ b/benches/call_path.rs
@@ -1,9 +1,9 @@
-//! What a call costs: calls a second and processor time of a node's thread, and time added, for
-//! the direct way, through one node, and through two.
+//! Cost of a call without a node, through one node, and through two: calls per second, latency, and
+//! processor time of the threads involved.
 //!
-//! `cargo bench --bench call_path -- [calls a second] [seconds] [way]`: with a rate, calls are
-//! sent at that rate, however slow the answers are (open loop); without one, or with 0, 32
-//! callers send one call after the other.
+//! `cargo bench --bench call_path -- [calls per second] [seconds] [direct|one|two]`: with a rate,
+//! calls are sent at that rate, however slow the answers are (open loop); without one, or with 0,
+//! each of 32 callers sends its next call when the last one is answered (closed loop).
 
 use std::env;
 use std::net;
@@ -57,11 +57,11 @@
     fn release(&self, _key: claim::Key, _attempt: claim::Attempt) {}
 }
 
-/// A thread whose processor time can be read from another.
-struct Duty(path::PathBuf);
+/// A thread whose processor time can be read from other threads; holds the path of its statistics.
+struct MeasuredThread(path::PathBuf);
 
-impl Duty {
-    /// Runs the future made by `make` on a thread of its own for the rest of the process.
+impl MeasuredThread {
+    /// Runs the future that `make` returns on a new thread until the process ends.
     fn spawn<F: Future<Output = ()>>(
         name: &str,
         make: impl FnOnce() -> F + Send + 'static,
@@ -79,7 +79,7 @@
         Self(receiver.recv().unwrap())
     }
 
-    fn cpu(&self) -> time::Duration {
+    fn cpu_time(&self) -> time::Duration {
         let text = std::fs::read_to_string(&self.0).unwrap();
         let nanos = text.split_whitespace().next().unwrap().parse().unwrap();
         time::Duration::from_nanos(nanos)
@@ -107,16 +107,16 @@
     id: host::HostId,
     local: Option<net::SocketAddr>,
     view: Arc<view::View>,
-) -> Duty {
+) -> MeasuredThread {
     let mesh = Arc::new(mesh::check::check(CONFIG.as_bytes()).unwrap());
-    let stamp = version::VersionId { version: version::Version::new(1), ..Default::default() };
+    let version_id = version::VersionId { version: version::Version::new(1), ..Default::default() };
     let settings = configs::Node {
         mesh: "bench".into(),
         key: "secret".into(),
         listen: id.member_addr(),
         ..configs::Node::default()
     };
-    Duty::spawn(name, move || async move {
+    MeasuredThread::spawn(name, move || async move {
         let local = local.map(|address| {
             Arc::new(node::LocalUpstream {
                 address,
@@ -125,7 +125,7 @@
             })
         });
         let wiring = wiring::Wiring {
-            applied: watch::channel(Arc::new(mesh::Applied { version_id: stamp, mesh })).1,
+            applied: watch::channel(Arc::new(mesh::Applied { version_id, mesh })).1,
             view: watch::channel(view).1,
             local: watch::channel(local).1,
             stage: watch::channel(node::Stage::Run).1,
@@ -135,7 +135,7 @@
             quarantine: quarantine::channel().0,
             rollouts: Default::default(),
         };
-        let (_keep, stage) = watch::channel(node::Stage::Run);
+        let (_stage_sender, stage) = watch::channel(node::Stage::Run);
         let wiring = wiring::Wiring { stage, ..wiring };
         shell::run(context::Context::system(), Arc::new(settings), wiring).await.unwrap();
     })
@@ -157,46 +157,54 @@
 async fn connect(address: net::SocketAddr) -> client::SendRequest<Full<Bytes>> {
     let stream = TcpStream::connect(address).await.unwrap();
     stream.set_nodelay(true).unwrap();
-    let (send, conn) = client::handshake(TokioIo::new(stream)).await.unwrap();
-    task::spawn_local(conn);
-    send
+    let (sender, connection) = client::handshake(TokioIo::new(stream)).await.unwrap();
+    task::spawn_local(connection);
+    sender
 }
 
-async fn call(send: &mut client::SendRequest<Full<Bytes>>) {
+async fn call(sender: &mut client::SendRequest<Full<Bytes>>) {
     let request = http::Request::builder().uri("/browse/books?page=1").header("host", "shop.test");
-    send.ready().await.unwrap();
-    let answer = send.send_request(request.body(Full::default()).unwrap()).await.unwrap();
+    sender.ready().await.unwrap();
+    let answer = sender.send_request(request.body(Full::default()).unwrap()).await.unwrap();
     assert_eq!(answer.status(), 200);
     assert_eq!(answer.into_body().collect().await.unwrap().to_bytes().len(), ANSWER.len());
 }
 
-type Times = Rc<std::cell::RefCell<hdrhistogram::Histogram<u64>>>;
+/// Latencies in tenths of a microsecond.
+type Latencies = Rc<std::cell::RefCell<hdrhistogram::Histogram<u64>>>;
 
-async fn closed(address: net::SocketAddr, until: time::Instant, times: Times) {
-    let mut send = connect(address).await;
+/// Sends each call when the last one is answered.
+async fn closed_loop(address: net::SocketAddr, until: time::Instant, latencies: Latencies) {
+    let mut sender = connect(address).await;
     while time::Instant::now() < until {
         let start = time::Instant::now();
-        call(&mut send).await;
-        times.borrow_mut().record(micros(start)).unwrap();
+        call(&mut sender).await;
+        latencies.borrow_mut().record(tenth_micros(start)).unwrap();
     }
 }
 
-/// Each caller sends at its share of the rate; a call's time starts when it was due.
-async fn open(address: net::SocketAddr, rate: f64, until: time::Instant, times: Times) {
-    let mut send = connect(address).await;
+/// Sends calls at one caller's share of the rate. The latency of a call that the one before delayed
+/// counts from the time at which it was due.
+async fn open_loop(
+    address: net::SocketAddr,
+    rate: f64,
+    until: time::Instant,
+    latencies: Latencies,
+) {
+    let mut sender = connect(address).await;
     let pause = time::Duration::from_secs_f64(CALLERS as f64 / rate);
     let mut due = time::Instant::now() + pause.mul_f64(rand::random());
     while due < until {
         tokio::time::sleep_until(due.into()).await;
-        // The timer's granularity is a millisecond: it is not the call's time.
+        // The timer may fire up to a millisecond late, which is not part of the latency.
         let start = if time::Instant::now() < due + pause { time::Instant::now() } else { due };
-        call(&mut send).await;
-        times.borrow_mut().record(micros(start)).unwrap();
+        call(&mut sender).await;
+        latencies.borrow_mut().record(tenth_micros(start)).unwrap();
         due += pause.mul_f64(0.5 + rand::random::<f64>());
     }
 }
 
-fn micros(start: time::Instant) -> u64 {
+fn tenth_micros(start: time::Instant) -> u64 {
     u64::try_from(start.elapsed().as_nanos() / 100).unwrap().max(1)
 }
 
@@ -205,60 +213,60 @@
     address: net::SocketAddr,
     rate: f64,
     seconds: u64,
-    duties: &[(&str, &Duty)],
+    threads: &[(&str, &MeasuredThread)],
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let times = Rc::new(std::cell::RefCell::new(hdrhistogram::Histogram::new(3).unwrap()));
-    let before: Vec<time::Duration> = duties.iter().map(|(_, d)| d.cpu()).collect();
+    let latencies = Rc::new(std::cell::RefCell::new(hdrhistogram::Histogram::new(3).unwrap()));
+    let before: Vec<time::Duration> = threads.iter().map(|(_, t)| t.cpu_time()).collect();
     let start = time::Instant::now();
     let until = start + time::Duration::from_secs(seconds);
     task::LocalSet::new().block_on(&runtime, async {
         let callers = (0..CALLERS).map(|_| {
-            let times = Rc::clone(&times);
+            let latencies = Rc::clone(&latencies);
             task::spawn_local(async move {
                 if rate > 0.0 {
-                    open(address, rate, until, times).await;
+                    open_loop(address, rate, until, latencies).await;
                 } else {
-                    closed(address, until, times).await;
+                    closed_loop(address, until, latencies).await;
                 }
             })
         });
         futures_util::future::join_all(callers).await;
     });
-    let times = times.borrow();
-    let calls = times.len();
-    let at = |q: f64| times.value_at_quantile(q) as f64 / 10.0;
-    let a_second = calls as f64 / start.elapsed().as_secs_f64();
+    let latencies = latencies.borrow();
+    let calls = latencies.len();
+    let at = |q: f64| latencies.value_at_quantile(q) as f64 / 10.0;
+    let calls_per_s = calls as f64 / start.elapsed().as_secs_f64();
     print!(
-        "{name:8} {calls:7} calls {a_second:8.0} a second  p50 {:6.1} us  p99 {:7.1} us",
+        "{name:8} {calls:7} calls {calls_per_s:8.0} a second  p50 {:6.1} us  p99 {:7.1} us",
         at(0.5),
         at(0.99)
     );
-    for ((duty, d), before) in duties.iter().zip(before) {
-        let cpu = (d.cpu() - before).as_nanos() as f64 / calls as f64 / 1000.0;
-        print!("  {duty} {cpu:5.1} us/call");
+    for ((thread, t), before) in threads.iter().zip(before) {
+        let cpu = (t.cpu_time() - before).as_nanos() as f64 / calls as f64 / 1000.0;
+        print!("  {thread} {cpu:5.1} us/call");
     }
     println!();
 }
 
-/// A name, an address to call, and the threads whose time counts.
-type Way<'a> = (&'a str, net::SocketAddr, &'a [(&'a str, &'a Duty)]);
+/// Name of a path of calls, the address to call, and the threads whose processor time counts.
+type CallPath<'a> = (&'a str, net::SocketAddr, &'a [(&'a str, &'a MeasuredThread)]);
 
 fn main() {
     let args: Vec<String> = env::args().skip(1).filter(|a| a != "--bench").collect();
     let number = |index: usize| args.get(index).and_then(|a| a.parse::<f64>().ok());
     let rate = number(0).unwrap_or(0.0);
     let seconds = number(1).unwrap_or(3.0) as u64;
-    let wanted = |way: &str| args.get(2).is_none_or(|w| w == way);
+    let selected = |path: &str| args.get(2).is_none_or(|p| p == path);
     let listener = net::TcpListener::bind("127.16.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
     let target = listener.local_addr().unwrap();
-    let run = Duty::spawn("upstream", move || upstream(listener));
+    let upstream_thread = MeasuredThread::spawn("upstream", move || upstream(listener));
     let id = |last: u8| host::HostId::new(net::SocketAddr::from(([127, 16, 0, last], 7100)));
-    let place = Arc::new(view::Locality { region: "region".into(), zone: "zone".into() });
+    let locality = Arc::new(view::Locality { region: "region".into(), zone: "zone".into() });
     let host = |last: u8, upstream: Option<view::Upstream>| view::Host {
         id: id(last),
-        locality: Arc::clone(&place),
+        locality: Arc::clone(&locality),
         incarnation: 1,
         health: view::Health::Alive,
         upstream: upstream.map(Arc::new),
@@ -267,14 +275,14 @@
     let entry = start_node("entry", id(2), None, Arc::clone(&view));
     let owner = start_node("owner", id(3), Some(target), view);
     thread::sleep(time::Duration::from_millis(300));
-    let ways: [Way<'_>; 3] = [
-        ("direct", target, &[("upstream", &run)]),
+    let paths: [CallPath<'_>; 3] = [
+        ("direct", target, &[("upstream", &upstream_thread)]),
         ("one", id(3).call_addr(), &[("node", &owner)]),
         ("two", id(2).call_addr(), &[("entry", &entry), ("owner", &owner)]),
     ];
     for _ in 0..2 {
-        for (way, address, duties) in ways.iter().filter(|(way, ..)| wanted(way)) {
-            measure(way, *address, rate, seconds, duties);
+        for (path, address, threads) in paths.iter().filter(|(path, ..)| selected(path)) {
+            measure(path, *address, rate, seconds, threads);
         }
     }
 }
--- a/benches/claim.rs
+++ b/benches/claim.rs
@@ -1,4 +1,4 @@
-//! CPU and bytes of a claim in the writer: `cargo bench --bench claim`.
+//! Processor time of claims in the writer, and their size in the log: `cargo bench --bench claim`.
 
 use std::hint;
 use std::net;
@@ -12,7 +12,8 @@
 use dandelionspool::host;
 use dandelionspool::logs;
 
-const GROUP: u64 = 200;
+/// Claims in one append.
+const CLAIMS: u64 = 200;
 
 fn entry(n: u64) -> Entry {
     let host = net::SocketAddr::from(([10, 0, (n % 11) as u8, (n % 251) as u8], 7100));
@@ -20,18 +21,24 @@
     Entry { key: Key::new("POST", "/gifts", &n.to_le_bytes()), attempt, op: Op::Claim }
 }
 
-/// A group of claims from the questions to the answers, with the log answering at once.
-fn group(writer: &mut writer::Writer, first: u64, offset: &mut u64, now: clock::Instant) -> usize {
+/// Runs [`CLAIMS`] claims from request to answer, with a log that answers at once. Returns the
+/// number of answers.
+fn run_claims(
+    writer: &mut writer::Writer,
+    first: u64,
+    offset: &mut u64,
+    now: clock::Instant,
+) -> usize {
     let deadline = now + time::Duration::from_secs(5);
-    let mut appends = Vec::new();
-    for n in first..first + GROUP {
-        let ask = Event::Request { token: Token(n), entry: entry(n), deadline };
-        appends.extend(writer.handle(ask, now));
+    let mut actions = Vec::new();
+    for n in first..first + CLAIMS {
+        let request = Event::Request { token: Token(n), entry: entry(n), deadline };
+        actions.extend(writer.handle(request, now));
     }
     let later = now + time::Duration::from_millis(20);
-    appends.extend(writer.handle(Event::Tick, later));
+    actions.extend(writer.handle(Event::Tick, later));
     let mut answers = 0;
-    while let Some(action) = appends.pop() {
+    while let Some(action) = actions.pop() {
         match action {
             Action::Append(_, body) => {
                 let unix_millis = 1_000_000 + now.as_micros() / 1000;
@@ -39,7 +46,7 @@
                 *offset += 1;
                 let batch =
                     logs::Batch { epoch: 0, first: 0, next: *offset, records: vec![record] };
-                appends.extend(writer.handle(Event::Read(Some(batch)), later));
+                actions.extend(writer.handle(Event::Read(Some(batch)), later));
             }
             Action::Answer(..) => answers += 1,
             Action::Read(_) => {}
@@ -49,15 +56,15 @@
 }
 
 fn claims(criterion: &mut Criterion) {
-    let entries: Vec<Entry> = (0..GROUP).map(entry).collect();
+    let entries: Vec<Entry> = (0..CLAIMS).map(entry).collect();
     let body = encode(&entries);
-    println!("bytes in the log for {GROUP} claims: {}", body.len());
+    println!("bytes in the log for {CLAIMS} claims: {}", body.len());
     criterion.bench_function("encode 200 claims", |b| b.iter(|| encode(hint::black_box(&entries))));
     criterion.bench_function("decode 200 claims", |b| b.iter(|| decode(hint::black_box(&body))));
     criterion.bench_function("fold 200 claims", |b| {
-        let fresh = || fold::Fold::new(time::Duration::from_secs(600));
+        let empty = || fold::Fold::new(time::Duration::from_secs(600));
         b.iter_batched_ref(
-            fresh,
+            empty,
             |fold| entries.iter().for_each(|entry| fold.apply(1000, entry)),
             BatchSize::SmallInput,
         );
@@ -77,8 +84,8 @@
         }
         b.iter(|| {
             now = now + time::Duration::from_millis(50);
-            first += GROUP;
-            group(&mut writer, first, &mut offset, now)
+            first += CLAIMS;
+            run_claims(&mut writer, first, &mut offset, now)
         });
     });
 }
--- a/benches/delta.rs
+++ b/benches/delta.rs
@@ -1,4 +1,4 @@
-//! Time to make and to restore the patch of one changed route in a file of 370 services.
+//! Time to compute and to apply the patch for one changed route in a file of 370 services.
 
 #[path = "../tests/fixture/mod.rs"]
 mod fixture;
--- a/benches/find.rs
+++ b/benches/find.rs
@@ -1,5 +1,5 @@
-//! Choice of a route, by the index and by a plain scan, and the check of a whole file, at the size
-//! to design for: 370 services with four kinds, two upstream classes and four routes each.
+//! Time to find a route, by the index and by a linear scan, and to check a configuration file, at
+//! the size to design for: 370 services with four kinds, two upstream classes and four routes each.
 
 use std::hint;
 
@@ -10,7 +10,7 @@
 
 const SERVICES: usize = 370;
 
-/// The file, of which a third of the services have a host of their own.
+/// The configuration file; the routes of a third of the services match only the service's own host.
 fn file() -> Vec<u8> {
     let kinds = ["browse", "order", "upload", "lookup"];
     let mut services = Vec::new();
@@ -18,8 +18,8 @@
     let mut routes = Vec::new();
     for s in 0..SERVICES {
         let service = format!("service-{s}");
-        let named: Vec<_> = kinds.iter().map(|k| json!({"name": k, "weight": 2})).collect();
-        services.push(json!({"name": service, "team": "team", "kinds": named}));
+        let weighted: Vec<_> = kinds.iter().map(|k| json!({"name": k, "weight": 2})).collect();
+        services.push(json!({"name": service, "team": "team", "kinds": weighted}));
         for class in ["small", "large"] {
             let name = format!("{service}-{class}");
             upstreams.push(json!({"name": name, "service": service, "slots": 9}));
@@ -45,13 +45,15 @@
     file.to_string().into_bytes()
 }
 
-/// The first route that fits, by a scan of all: what the index saves.
+/// Index of the first route that matches, found by a linear scan, to compare the index with.
 fn scan(mesh: &mesh::Mesh, host: &str, method: &http::Method, path: &str) -> Option<usize> {
-    let begins = |prefix: &str| {
+    let has_prefix = |prefix: &str| {
         path.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
     };
     mesh.routes.iter().position(|r| {
-        r.host.as_deref().is_none_or(|h| h == host) && begins(&r.path) && r.methods.contains(method)
+        r.host.as_deref().is_none_or(|h| h == host)
+            && has_prefix(&r.path)
+            && r.methods.contains(method)
     })
 }
 
--- a/benches/fold.rs
+++ b/benches/fold.rs
@@ -1,4 +1,4 @@
-//! Time to judge records whose file has 370 services.
+//! Time to apply log records whose configuration file has 370 services.
 
 #[path = "../tests/fixture/mod.rs"]
 mod fixture;
--- a/benches/member.rs
+++ b/benches/member.rs
@@ -1,4 +1,4 @@
-//! Processor time of one host's membership among 2,800.
+//! Processor time of one host's membership in meshes of up to 2,800 hosts.
 
 #![allow(dead_code)]
 
@@ -27,11 +27,11 @@
     let mut group = c.benchmark_group("member/change heard 40 times");
     for count in SIZES {
         let mut feed = feed::Feed::new(count);
-        let mut life = 0;
+        let mut incarnation = 0;
         group.bench_function(BenchmarkId::from_parameter(count), |b| {
             b.iter(|| {
-                life += 1;
-                feed.gossip(9, life, view::Phase::Serving, 40);
+                incarnation += 1;
+                feed.gossip(9, incarnation, view::Phase::Serving, 40);
             });
         });
     }
--- a/benches/pick.rs
+++ b/benches/pick.rs
@@ -1,4 +1,5 @@
-//! Cost of one pick, start and end at the size to design for: 2,800 upstreams in 370 services.
+//! Time to pick an upstream and to record the start and end of its call, at the size to design for:
+//! 2,800 upstreams in 370 services.
 
 use std::hint;
 use std::net;
@@ -21,7 +22,7 @@
 const SERVICES: u16 = 370;
 const ZONES: u16 = 5;
 
-fn place(number: u16) -> view::Locality {
+fn locality(number: u16) -> view::Locality {
     let region = format_smolstr!("region-{}", number % 2);
     view::Locality { zone: format_smolstr!("{region}-{}", number / 2 % ZONES), region }
 }
@@ -41,7 +42,7 @@
     };
     view::Host {
         id: host::HostId::new(net::SocketAddr::from(([127, 0, high, low], 7100))),
-        locality: Arc::new(place(number / SERVICES)),
+        locality: Arc::new(locality(number / SERVICES)),
         incarnation: 1,
         health: view::Health::Alive,
         upstream: Some(Arc::new(upstream)),
@@ -102,7 +103,7 @@
     let view = view::View::new((0..UPSTREAMS).map(host).collect());
     let mesh = configuration();
     let settings = configs::call::Call::default();
-    let mut picker = pick::Picker::new(place(0), &settings, 1);
+    let mut picker = pick::Picker::new(locality(0), &settings, 1);
     picker.rebuild(&view, &mesh, clock::Instant::ZERO);
     let mut number = 0;
     criterion.bench_function("pick, start and end one call", |b| {
--- a/benches/spread.rs
+++ b/benches/spread.rs
@@ -1,4 +1,4 @@
-//! Cost of the push tree and the choice of readers, at the sizes to design for.
+//! Time to build the push tree and to choose the readers of a zone, at the sizes to design for.
 
 use std::hint;
 use std::net;
@@ -16,7 +16,7 @@
 
 fn trees(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("spread");
-    // A zone of five and a zone that holds the whole mesh.
+    // One of five zones, and a single zone with all hosts of the mesh.
     for count in [560, 2800] {
         let zone = hosts(count);
         group.bench_with_input(BenchmarkId::new("children", count), &zone, |b, zone| {
--- a/soak/src/setup.rs
+++ b/soak/src/setup.rs
@@ -83,7 +83,10 @@
         json!({ "name": name, "weight": 1, "idempotent": idempotent, "body_bytes": body_bytes,
                 "attempts": MAX_ATTEMPTS })
     };
-    let route = |name, path, method| json!({ "name": name, "path": path, "methods": [method], "service": SERVICE, "kind": name });
+    let route = |name, path, method| {
+        json!({ "name": name, "path": path, "methods": [method], "service": SERVICE,
+                "kind": name })
+    };
     let mesh = json!({
         "format": 3,
         "organisations": [{ "name": "sellers" }, { "name": format!("organisation-{number}") }],
