--- a/src/admit/gate.rs
+++ b/src/admit/gate.rs
@@ -154,7 +154,7 @@
             None
         } else if self.is_hopeless(position, call, now) {
             Some(retry::Reason::TooLate)
-        } else if !call.inner && self.queue.len() > 0 && self.is_late(position, call, now) {
+        } else if !call.nested && self.queue.len() > 0 && self.is_late(position, call, now) {
             Some(retry::Reason::Full)
         } else {
             None
@@ -189,11 +189,11 @@
                 self.refuse(call, retry::Reason::TooLate, now, actions);
                 continue;
             }
-            if !call.inner && self.queue.len() > 0 && self.is_overdue(&call, now) {
+            if !call.nested && self.queue.len() > 0 && self.is_overdue(&call, now) {
                 self.refuse(call, retry::Reason::Full, now, actions);
                 continue;
             }
-            if !call.inner {
+            if !call.nested {
                 self.ratio.record(expected, now.since(since));
             }
             self.run(call, now, actions);
--- a/src/admit/mod.rs
+++ b/src/admit/mod.rs
@@ -40,7 +40,7 @@
     pub weight: u32,
     /// Whether a running call waits for this one. Such a call runs before new work, whatever its
     /// weight, and is not refused because of its own target.
-    pub inner: bool,
+    pub nested: bool,
     /// Time by which the answer should come to be on time; equal to the deadline if that makes no
     /// difference.
     pub target: clock::Instant,
@@ -62,7 +62,7 @@
 impl Call {
     /// Priority of the call; the highest rank runs first.
     pub(crate) const fn rank(&self) -> (bool, u32) {
-        (self.inner, self.weight)
+        (self.nested, self.weight)
     }
 }
 
--- a/src/admit/tests.rs
+++ b/src/admit/tests.rs
@@ -68,7 +68,7 @@
         now: u64,
     ) -> Vec<admit::Action> {
         let (ticket, target, deadline) = (admit::Ticket(ticket), at(target), at(deadline));
-        let call = admit::Call { ticket, kind, weight, inner: false, target, deadline };
+        let call = admit::Call { ticket, kind, weight, nested: false, target, deadline };
         self.handle(admit::Event::Arrive(call), now)
     }
 
@@ -275,9 +275,9 @@
 }
 
 /// The arrival of a call that a running call waits for.
-fn inner(ticket: u64, target: u64, deadline: u64) -> admit::Event {
+fn nested(ticket: u64, target: u64, deadline: u64) -> admit::Event {
     let (ticket, target, deadline) = (admit::Ticket(ticket), at(target), at(deadline));
-    let call = admit::Call { ticket, kind: PLAIN, weight: BROWSE, inner: true, target, deadline };
+    let call = admit::Call { ticket, kind: PLAIN, weight: BROWSE, nested: true, target, deadline };
     admit::Event::Arrive(call)
 }
 
@@ -287,7 +287,7 @@
     harness.arrive(1, BROWSE, 1000, 0);
     harness.arrive(2, ORDER, 1000, 0);
     harness.arrive(3, ORDER, 1000, 0);
-    assert_eq!(refused(&harness.handle(inner(4, 1000, 1000), 1)), [(3, retry::Reason::Full)]);
+    assert_eq!(refused(&harness.handle(nested(4, 1000, 1000), 1)), [(3, retry::Reason::Full)]);
     assert_eq!(harness.end(1, 10), [run(4)]);
     assert_eq!(harness.end(4, 20), [run(2)]);
 }
@@ -301,9 +301,9 @@
     harness.arrive(2, BROWSE, 10_000, 100);
     harness.arrive(3, BROWSE, 10_000, 100);
     assert_eq!(refused(&harness.arrive_for(4, BROWSE, 150, 500, 100)), [(4, retry::Reason::Full)]);
-    assert_eq!(refused(&harness.handle(inner(5, 150, 500), 100)), []);
+    assert_eq!(refused(&harness.handle(nested(5, 150, 500), 100)), []);
     let too_late = [(6, retry::Reason::TooLate)];
-    assert_eq!(refused(&harness.handle(inner(6, 150, 200), 100)), too_late);
+    assert_eq!(refused(&harness.handle(nested(6, 150, 200), 100)), too_late);
 }
 
 #[test]
@@ -721,12 +721,12 @@
     for _ in 0..40 {
         let running = ticket;
         harness.arrive(ticket + 1, BROWSE, 1_000_000, now);
-        let inner_calls = if overtaken { ticket + 2..ticket + 5 } else { ticket + 2..ticket + 2 };
+        let nested_calls = if overtaken { ticket + 2..ticket + 5 } else { ticket + 2..ticket + 2 };
         let mut last = running;
-        for first in inner_calls.clone() {
-            harness.handle(inner(first, 1_000_000, 1_000_000), now);
+        for first in nested_calls.clone() {
+            harness.handle(nested(first, 1_000_000, 1_000_000), now);
         }
-        for first in inner_calls {
+        for first in nested_calls {
             now += 100;
             harness.end(last, now);
             last = first;
--- a/src/bench/policies/model.rs
+++ b/src/bench/policies/model.rs
@@ -209,7 +209,7 @@
         let ticket = admit::Ticket(call as u64 * TICKETS + u64::from(attempt));
         let deadline = one.since + one.kind.patience();
         let (kind, weight) = (one.kind.number(), one.kind.weight());
-        let call = admit::Call { ticket, kind, weight, inner: false, target: deadline, deadline };
+        let call = admit::Call { ticket, kind, weight, nested: false, target: deadline, deadline };
         self.gate(at, admit::Event::Arrive(call));
     }
 
--- a/src/pick/mod.rs
+++ b/src/pick/mod.rs
@@ -55,12 +55,12 @@
     /// stays on its host occupies none.
     pub link_us: f32,
     /// Whether a running call waits for this one, so that it runs before new work at the upstream.
-    pub inner: bool,
+    pub nested: bool,
 }
 
 impl TransferCost {
     /// No cost to any host or zone.
-    pub const FREE: TransferCost = TransferCost { cross_zone: 0.0, link_us: 0.0, inner: false };
+    pub const FREE: TransferCost = TransferCost { cross_zone: 0.0, link_us: 0.0, nested: false };
 
     /// The cost of a call to an upstream in `tier` with a service time of `service_us`; `None` if
     /// that is unknown.
--- a/src/pick/peer.rs
+++ b/src/pick/peer.rs
@@ -26,7 +26,7 @@
 
 /// Share of an upstream's wait for calls that run before new work. They wait only for one another,
 /// and are a quarter to a third of the work where services call each other.
-const INNER_WAIT_SHARE: f32 = 0.25;
+const NESTED_WAIT_SHARE: f32 = 0.25;
 
 /// Half-life of the relative run time of an upstream: some seconds, the time for which an upstream
 /// is slow after a start or a fault.
@@ -241,9 +241,9 @@
     /// calls that running calls wait for were held up at the slow upstreams: over five days of load
     /// and faults 0.739 of the credit was earned instead of 0.755, and 85% of the calls were served
     /// instead of 87%.
-    pub(super) fn cost(&self, inner: bool, rules: &Rules, now: clock::Instant) -> f32 {
+    pub(super) fn cost(&self, nested: bool, rules: &Rules, now: clock::Instant) -> f32 {
         let fullness = self.fullness(rules, now);
-        let wait = (fullness - FULL).max(0.0) * if inner { INNER_WAIT_SHARE } else { 1.0 };
+        let wait = (fullness - FULL).max(0.0) * if nested { NESTED_WAIT_SHARE } else { 1.0 };
         self.relative_time(now) * (fullness.min(FULL) + wait)
     }
 
--- a/src/pick/picker.rs
+++ b/src/pick/picker.rs
@@ -166,7 +166,7 @@
         let explores = light && self.rng.random_ratio(1, EXPLORE_ONE_IN);
         let first = if explores { table::OTHER_ZONE } else { 0 };
         for tier in (first..table::TIERS).chain(0..first) {
-            let Some((index, own)) = self.pick_tier(target, tier, cost.inner, now, avoid) else {
+            let Some((index, own)) = self.pick_tier(target, tier, cost.nested, now, avoid) else {
                 continue;
             };
             let chosen = &self.table.peers[index as usize];
@@ -216,7 +216,7 @@
     ) -> Option<(u32, usize, f32)> {
         let list = self.table.list(target)?;
         let near = (0..table::OTHER_ZONE).flat_map(|tier| {
-            let pool = self.pool(list, tier, cost.inner, now, avoid);
+            let pool = self.pool(list, tier, cost.nested, now, avoid);
             let usable = (0..pool.len()).filter(move |&i| pool.is_usable(i));
             usable.map(move |i| {
                 let extra = self.extra_cost(pool.peer(i), tier, cost, now);
@@ -244,12 +244,12 @@
         &'a self,
         list: &'a table::List,
         tier: usize,
-        inner: bool,
+        nested: bool,
         now: clock::Instant,
         avoid: &'a [host::HostId],
     ) -> pick::Pool<'a> {
         let (peers, members) = (&self.table.peers[..], list.tier(tier));
-        pick::Pool { peers, members, rules: &self.rules, avoid, now, inner }
+        pick::Pool { peers, members, rules: &self.rules, avoid, now, nested }
     }
 
     /// The choice of the policy in `tier`, with its cost without the transfer.
@@ -257,15 +257,21 @@
         &mut self,
         target: pick::Target,
         tier: usize,
-        inner: bool,
+        nested: bool,
         now: clock::Instant,
         avoid: &[host::HostId],
     ) -> Option<(u32, f32)> {
         let list = self.table.list(target)?;
         let members = list.tier(tier);
         let mut cursor = list.cursors[tier];
-        let pool =
-            pick::Pool { peers: &self.table.peers, members, rules: &self.rules, avoid, now, inner };
+        let pool = pick::Pool {
+            peers: &self.table.peers,
+            members,
+            rules: &self.rules,
+            avoid,
+            now,
+            nested,
+        };
         let index = self.policy.choose(&pool, &mut cursor, &mut self.rng)?;
         let chosen = (members[index], pool.cost(index));
         self.table.list_mut(target)?.cursors[tier] = cursor;
--- a/src/pick/pool.rs
+++ b/src/pick/pool.rs
@@ -17,7 +17,7 @@
     pub(super) avoid: &'a [host::HostId],
     pub(super) now: clock::Instant,
     /// Whether the call runs before new work at the upstream.
-    pub(super) inner: bool,
+    pub(super) nested: bool,
 }
 
 impl Pool<'_> {
@@ -44,7 +44,7 @@
 
     /// What a call would cost at `index`, in mean service times of its kind.
     pub fn cost(&self, index: usize) -> f32 {
-        self.peer(index).cost(self.inner, self.rules, self.now)
+        self.peer(index).cost(self.nested, self.rules, self.now)
     }
 }
 
--- a/src/pick/tests.rs
+++ b/src/pick/tests.rs
@@ -539,8 +539,8 @@
 }
 
 /// How many of 36 calls that do not end go to the second upstream.
-fn second(picker: &mut pick::Picker, inner: bool, millis: u64) -> usize {
-    let cost = pick::TransferCost { inner, ..pick::TransferCost::FREE };
+fn second(picker: &mut pick::Picker, nested: bool, millis: u64) -> usize {
+    let cost = pick::TransferCost { nested, ..pick::TransferCost::FREE };
     let mut picked = 0;
     for _ in 0..36 {
         let choice = picker.pick_with_cost(SHOP, cost, at(millis), &[]).expect("a choice");
@@ -555,13 +555,13 @@
 #[rstest]
 #[case::equals(1.0, false, 17..=19)]
 #[case::slow(3.0, false, 8..=10)]
-#[case::slow_for_inner_calls(3.0, true, 4..=6)]
+#[case::slow_for_nested_calls(3.0, true, 4..=6)]
 fn calls_go_to_the_upstream_where_they_end_first(
     #[case] ratio: f32,
-    #[case] inner: bool,
+    #[case] nested: bool,
     #[case] wanted: std::ops::RangeInclusive<usize>,
 ) {
-    let picked = second(&mut uneven(ratio), inner, 200);
+    let picked = second(&mut uneven(ratio), nested, 200);
     assert!(wanted.contains(&picked), "{picked} of 36 calls");
 }
 
--- a/src/proxy/call.rs
+++ b/src/proxy/call.rs
@@ -335,7 +335,7 @@
     let bytes = call.body.bytes() + state.sizes.borrow().expected(&call.kind().name);
     let cross = if unit == 0 { 0.0 } else { bytes as f32 / unit as f32 };
     let link = inbound_link::link_time(&state.settings.proxy, bytes);
-    pick::TransferCost { cross_zone: cross, link_us: link, inner: call.nested }
+    pick::TransferCost { cross_zone: cross, link_us: link, nested: call.nested }
 }
 
 /// Replaces the reason of an unknown outcome by that of the request's body, if the body ended
--- a/src/proxy/slots.rs
+++ b/src/proxy/slots.rs
@@ -122,7 +122,7 @@
         self.waiters.borrow_mut().insert(ticket, sender);
         // From here on, the call leaves the queue if this future is dropped.
         let slot = Slot { slots: Rc::clone(self), ticket, ended: false };
-        let call = admit::Call { ticket, kind, weight, inner: nested, target, deadline };
+        let call = admit::Call { ticket, kind, weight, nested, target, deadline };
         self.handle(admit::Event::Arrive(call));
         if let Ok(verdict) = receiver.try_recv() {
             return verdict.map(|()| slot);
@@ -150,7 +150,7 @@
         let ticket = admit::Ticket(self.next.replace(self.next.get() + 1));
         let kind = self.kinds.borrow_mut().number(request.kind);
         let &Request { weight, nested, target, deadline, .. } = request;
-        let call = admit::Call { ticket, kind, weight, inner: nested, target, deadline };
+        let call = admit::Call { ticket, kind, weight, nested, target, deadline };
         match self.gate.borrow().preview(&call, self.ctx.now()) {
             Some(admit::Action::Refuse { reason, retry_after, .. }) => {
                 Err(Refused { reason, retry_after })
