--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -24,7 +24,7 @@
 }
 
 impl Attempt {
-    /// Starts an attempt and tells the picker.
+    /// Starts an attempt and reports the start to the picker.
     pub fn start(
         ctx: context::Context,
         picker: Rc<RefCell<pick::Picker>>,
--- a/src/proxy/body_memory.rs
+++ b/src/proxy/body_memory.rs
@@ -20,7 +20,7 @@
 }
 
 impl BodyMemory {
-    /// A memory of `bytes`.
+    /// Memory of which `bytes` are free.
     pub const fn new(bytes: u64) -> Self {
         Self { free: Cell::new(bytes) }
     }
--- a/src/proxy/call.rs
+++ b/src/proxy/call.rs
@@ -47,7 +47,7 @@
     pub service: mesh::ServiceKey,
     /// Whether the call is nested: made by a call that runs at the local upstream.
     pub nested: bool,
-    /// When the target latency of the call ends.
+    /// Time by which the call must be answered to meet its target latency.
     pub target: clock::Instant,
     /// When the caller gives up.
     pub deadline: clock::Instant,
--- a/src/proxy/call_spec.rs
+++ b/src/proxy/call_spec.rs
@@ -21,7 +21,7 @@
     pub weight: u32,
     /// Whether the call is nested: a running call made it and waits for its answer.
     pub nested: bool,
-    /// When the target latency of the call ends.
+    /// Time by which the call must be answered to meet its target latency.
     pub target: clock::Instant,
     /// When the caller gives up.
     pub deadline: clock::Instant,
--- a/src/proxy/caller.rs
+++ b/src/proxy/caller.rs
@@ -78,7 +78,7 @@
 /// Why a connection ends.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum End {
-    /// The caller has closed the connection or takes no more bytes; its calls are cancelled.
+    /// The caller has closed the connection or accepts no more bytes; its calls are cancelled.
     Disconnected,
     /// All answers have been written.
     Written,
@@ -150,7 +150,7 @@
                 Ok(false) => return self.wait_disconnect().await,
                 Err(fault) => return self.refuse(fault).await,
             }
-            let waits = lane.is_none() && self.buffer.is_empty();
+            let between_requests = lane.is_none() && self.buffer.is_empty();
             let idle = idle_timeout(self.unanswered.subscribe(), self.head_started, self.bounds);
             let closed = async {
                 // A closed channel counts as `true`.
@@ -163,7 +163,7 @@
                     Ok(_) => {}
                 },
                 () = idle => return End::Written,
-                () = closed, if waits => return self.finish().await,
+                () = closed, if between_requests => return self.finish().await,
             }
             while self.lanes.try_join_next().is_some() {}
         }
--- a/src/proxy/crash_detector.rs
+++ b/src/proxy/crash_detector.rs
@@ -65,7 +65,7 @@
             let crashed = self.all_broken(&is_running).await
                 && match address() {
                     Some(address) => refuses(address, limit).await,
-                    // It has left as planned.
+                    // The upstream has stopped as planned.
                     None => false,
                 };
             let suspects = self.suspects.take().unwrap_or_default();
--- a/src/proxy/crash_detector/tests.rs
+++ b/src/proxy/crash_detector/tests.rs
@@ -68,8 +68,8 @@
 }
 
 #[rstest]
-#[case::still_there(true)]
-#[case::left_in_order(false)]
+#[case::still_listening(true)]
+#[case::stopped_as_planned(false)]
 #[tokio::test]
 async fn a_broken_call_is_no_crash_of_an_upstream_that_is_there_or_has_left(#[case] there: bool) {
     let (_listener, address) = listener().await;
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -133,9 +133,8 @@
         resources::Resources { in_flight, count: Some(count), ..resources::Resources::default() };
     let deadline = state.deadline(started + max_duration(&applied.mesh, kind, head.remaining));
     // A caller that retries has used up part of its target latency. Without this, retries that can
-    // only be late displace calls that could be in time: 1337 answers of 4000 are in time in place
-    // of 2551 (virtual time, the test
-    // `callers_that_come_back_do_not_take_the_place_of_those_in_time`).
+    // only be late displace calls that could be in time: 1337 answers of 4000 are in time instead
+    // of 2551 (virtual time, the test `retries_do_not_displace_calls_in_time`).
     let caller_try = caller_try(state, &head, started);
     let first_try = caller_try.map_or(started, |caller_try| caller_try.first);
     let target = applied.mesh.kind(kind).latency.map_or(deadline, |latency| first_try + latency);
--- a/src/proxy/frame.rs
+++ b/src/proxy/frame.rs
@@ -225,9 +225,9 @@
 
 fn wants_close(version: Option<u8>, fields: &[httparse::Header<'_>]) -> bool {
     let mut words = named(fields, "connection").flat_map(|v| v.split(|b| *b == b','));
-    let says = |word: &[u8], wanted: &[u8]| word.trim_ascii().eq_ignore_ascii_case(wanted);
-    // HTTP/1.0 keeps a connection only on request. That request is not supported.
-    version == Some(0) || words.any(|word| says(word, b"close"))
+    let equals = |word: &[u8], wanted: &[u8]| word.trim_ascii().eq_ignore_ascii_case(wanted);
+    // An HTTP/1.0 connection stays open only if the request asks for it, which is not supported.
+    version == Some(0) || words.any(|word| equals(word, b"close"))
 }
 
 fn named<'a>(
--- a/src/proxy/frame/tests.rs
+++ b/src/proxy/frame/tests.rs
@@ -34,7 +34,7 @@
 
 #[rstest]
 #[case::one(&[GET])]
-#[case::ahead(&[GET, GET, GET])]
+#[case::pipelined(&[GET, GET, GET])]
 #[case::sized(&[SIZED, GET])]
 #[case::chunked(&[CHUNKED, SIZED, CHUNKED])]
 #[case::empty_body(&["POST / HTTP/1.1\r\ncontent-length: 0\r\n\r\n", GET])]
@@ -71,7 +71,7 @@
 #[case::no_size("\r\nhello")]
 #[case::bare_feed("5\nhello")]
 #[case::space_before_size(" 5\r\nhello")]
-#[case::space_behind_size("5 \r\nhello")]
+#[case::space_after_size("5 \r\nhello")]
 #[case::signed_size("+5\r\nhello")]
 #[case::huge_size("ffffffffffffffff\r\nhello")]
 fn a_chunk_of_invalid_size_is_refused(#[case] chunk: &str) {
@@ -91,7 +91,7 @@
 }
 
 #[rstest]
-#[case::whole(300)]
+#[case::at_once(300)]
 #[case::by_the_byte(1)]
 fn a_head_over_the_size_limit_is_refused(#[case] piece: usize) {
     let bytes = format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "a".repeat(LIMITS.head));
--- a/src/proxy/headers.rs
+++ b/src/proxy/headers.rs
@@ -45,7 +45,7 @@
 pub const INNER: &str = "dandelionspool-inner";
 /// Between nodes: how long the upstream took to begin its answer, in microseconds.
 pub const RAN_US: &str = "dandelionspool-ran-us";
-/// Between nodes: milliseconds until the target latency of the call ends.
+/// Between nodes: milliseconds remaining to meet the target latency of the call.
 pub const TARGET: &str = "dandelionspool-target-ms";
 /// Between nodes: class that the upstream must have.
 pub const CLASS: &str = "dandelionspool-class";
--- a/src/proxy/held_answers.rs
+++ b/src/proxy/held_answers.rs
@@ -155,7 +155,7 @@
         self.by_age.borrow().len()
     }
 
-    fn keep(&self, id: CallId, bytes: usize) {
+    fn hold(&self, id: CallId, bytes: usize) {
         let until = time::Instant::now() + self.limits.time;
         self.by_age.borrow_mut().push_back(HeldEntry { id, bytes, until });
         self.bytes.set(self.bytes.get() + bytes);
@@ -178,14 +178,14 @@
         if let Some(answer) = Answer::copy(answer) {
             let bytes = answer.body.len() + OVERHEAD_BYTES;
             self.sender.send_replace(Some(FirstCall::Answer(answer)));
-            self.held.keep(self.id, bytes);
+            self.held.hold(self.id, bytes);
         }
     }
 
     /// The call is proven not to have run.
     pub fn released(self) {
         self.sender.send_replace(Some(FirstCall::Released));
-        self.held.keep(self.id, OVERHEAD_BYTES);
+        self.held.hold(self.id, OVERHEAD_BYTES);
     }
 }
 
--- a/src/proxy/idempotency.rs
+++ b/src/proxy/idempotency.rs
@@ -55,10 +55,10 @@
     state: Rc<state::State<C>>,
     call: call::Call,
     mut resources: resources::Resources,
-    text: header::HeaderValue,
+    key_header: header::HeaderValue,
 ) -> Result<http::Response<body::Reply>, refuse::Refusal> {
     let path = call.head.path.path();
-    let key = claim::Key::new(call.head.method.as_str(), path, text.as_bytes());
+    let key = claim::Key::new(call.head.method.as_str(), path, key_header.as_bytes());
     let request_hash = request_hash(&call);
     for _ in 0..MAX_CLAIMS {
         let attempt = attempt(&state);
--- a/src/proxy/inbound_link.rs
+++ b/src/proxy/inbound_link.rs
@@ -95,7 +95,8 @@
         Self { plan, turns: sync::Semaphore::new(plan.turns), pending: Cell::new(0) }
     }
 
-    /// Adds a body of `bytes`, or as many as are known. It waits for its turn when it is read.
+    /// Adds a body of `bytes`, a lower bound if its length is not known. It waits for its turn when
+    /// it is read.
     pub fn turn(&self, bytes: u64) -> Turn<'_> {
         self.pending.set(self.pending.get() + bytes);
         Turn { link: self, permit: None, remaining: bytes }
--- a/src/proxy/inbound_link/tests.rs
+++ b/src/proxy/inbound_link/tests.rs
@@ -6,9 +6,9 @@
 use crate::proxy::inbound_link;
 
 #[rstest]
-#[case::thin(5.0, 2048, 8)]
-#[case::middling(100.0, 31_250, 8)]
-#[case::wide(1000.0, 262_144, 9)]
+#[case::slow(5.0, 2048, 8)]
+#[case::medium(100.0, 31_250, 8)]
+#[case::fast(1000.0, 262_144, 9)]
 fn window_and_turns_follow_from_the_rate_of_the_link(
     #[case] mbps: f64,
     #[case] window: u32,
@@ -47,7 +47,7 @@
     /// Bytes that each upload has yet to send.
     rest: Vec<u64>,
     /// Packets in flight: the upload and the number of bytes of each.
-    under_way: collections::VecDeque<(usize, u64)>,
+    in_flight: collections::VecDeque<(usize, u64)>,
     /// Uploads that hold a turn, and those that wait for one, with the bytes received before it.
     turns: collections::BTreeSet<usize>,
     waiting: collections::VecDeque<(usize, u64)>,
@@ -59,9 +59,9 @@
     const BYTE_US: f64 = 8.0 / 6.5;
 
     fn new(plan: inbound_link::Plan) -> Self {
-        let (rest, under_way) = (Vec::new(), collections::VecDeque::new());
+        let (rest, in_flight) = (Vec::new(), collections::VecDeque::new());
         let (turns, waiting) = (collections::BTreeSet::new(), collections::VecDeque::new());
-        Self { plan, rest, under_way, turns, waiting, done: 0 }
+        Self { plan, rest, in_flight, turns, waiting, done: 0 }
     }
 
     fn begin(&mut self, bytes: u64) {
@@ -74,7 +74,7 @@
         let bytes = bytes.min(self.rest[upload]);
         self.rest[upload] -= bytes;
         if bytes > 0 {
-            self.under_way.push_back((upload, bytes));
+            self.in_flight.push_back((upload, bytes));
         } else if self.turns.remove(&upload) {
             self.done += 1;
             if let Some((next, bytes)) = self.waiting.pop_front() {
@@ -86,7 +86,7 @@
 
     /// Carries one packet and returns the time that took, in microseconds.
     fn carry(&mut self) -> f64 {
-        let Some((upload, bytes)) = self.under_way.pop_front() else { return 1000.0 };
+        let Some((upload, bytes)) = self.in_flight.pop_front() else { return 1000.0 };
         if self.turns.contains(&upload) || self.turns.len() < self.plan.turns {
             self.turns.insert(upload);
             self.send(upload, bytes);
@@ -98,7 +98,7 @@
 
     /// How long a packet that arrives now waits for the link, in milliseconds.
     fn delay_ms(&self) -> f64 {
-        let bytes: u64 = self.under_way.iter().map(|(_, bytes)| bytes).sum();
+        let bytes: u64 = self.in_flight.iter().map(|(_, bytes)| bytes).sum();
         bytes as f64 * Self::BYTE_US / 1000.0
     }
 }
--- a/src/proxy/internode.rs
+++ b/src/proxy/internode.rs
@@ -20,7 +20,7 @@
 const NO_HOST: &str = "none.invalid";
 
 /// Maximum number of connections tried if they close before anything was sent.
-const MAX_CONNECTIONS: u8 = 3;
+const MAX_CONNECTION_TRIES: u8 = 3;
 
 /// The answer of another node.
 #[derive(Debug)]
@@ -122,7 +122,7 @@
     mut request: http::Request<upload::Upload>,
     end: time::Instant,
 ) -> Answer {
-    for _ in 0..MAX_CONNECTIONS {
+    for _ in 0..MAX_CONNECTION_TRIES {
         let link = time::timeout_at(end, links.get(host)).await;
         let mut link = match link {
             Err(_) => return refuse::Refusal::not_run(retry::Reason::TooLate).into(),
--- a/src/proxy/owner.rs
+++ b/src/proxy/owner.rs
@@ -28,19 +28,19 @@
 use crate::view;
 
 /// Maximum number of connections tried if they close before anything was sent.
-const MAX_CONNECTIONS: u8 = 3;
+const MAX_CONNECTION_TRIES: u8 = 3;
 
 /// Maximum size of an answer that is read only to reuse its connection.
 const MAX_SHED_BYTES: u64 = 4096;
 
-/// A call is no longer admitted in the last part of its time: the time remaining on arrival divided
-/// by this, within the two bounds below.
+/// Divides the time remaining on arrival. The quotient, within the two bounds below, is the margin
+/// before the deadline in which a call is no longer admitted.
 const MARGIN_DIVISOR: u32 = 20;
 
-/// Minimum of that part.
+/// Minimum of the margin.
 const MIN_MARGIN: Duration = Duration::from_millis(2);
 
-/// Maximum of that part.
+/// Maximum of the margin.
 const MAX_MARGIN: Duration = Duration::from_millis(100);
 
 /// Runs a call at the local upstream.
@@ -104,7 +104,8 @@
         if let Some(slot) = resources.slot.take() {
             slot.shed();
         }
-        // Without this delay, the caller would wait a second for a slot that is free now.
+        // A refusal without a delay would make the caller wait for a second, the default, though a
+        // slot is free now.
         let refusal = refuse::Refusal::not_run(retry::Reason::UpstreamShed);
         return Err(refusal.retry_in(state.slots.retry_delay()));
     }
@@ -234,7 +235,7 @@
     mut request: http::Request<upload::Upload>,
     end: time::Instant,
 ) -> Result<(pool::Lease, http::Response<hyper::body::Incoming>), refuse::Refusal> {
-    for _ in 0..MAX_CONNECTIONS {
+    for _ in 0..MAX_CONNECTION_TRIES {
         // If the upstream's host is gone, the connection attempt is not refused. It is bounded, so
         // that another upstream can still serve the call before its deadline.
         let connect_by =
--- a/src/proxy/quarantine_filter.rs
+++ b/src/proxy/quarantine_filter.rs
@@ -60,7 +60,7 @@
         self.check(fingerprint, self.delay_share(fingerprint))
     }
 
-    /// Checks a request at the owner node, which applies no delay of its own to the term.
+    /// Checks a request at the owner node, which does not extend the term.
     ///
     /// # Errors
     ///
--- a/src/proxy/slots.rs
+++ b/src/proxy/slots.rs
@@ -38,13 +38,13 @@
     pub weight: u32,
     /// Whether the call is nested, so that a running call waits for it.
     pub nested: bool,
-    /// When the target latency of the call ends.
+    /// Time by which the call must be answered to meet its target latency.
     pub target: clock::Instant,
     /// When the gate must have decided.
     pub deadline: clock::Instant,
 }
 
-/// Numbers of the kinds, by which the gate knows them.
+/// Assigns the numbers by which the gate identifies kinds.
 #[derive(Debug, Default)]
 struct Kinds {
     names: Vec<SmolStr>,
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -259,15 +259,15 @@
         }
     }
 
-    /// The load of the local upstream as reported to other nodes. The wait for the host's link is
-    /// included: it counts as calls that wait equally long for a slot.
+    /// The load of the local upstream as reported to other nodes. It includes the wait for the
+    /// host's link, converted to the number of waiting calls that would cause an equal wait.
     pub fn load(&self) -> admit::Load {
         let wait = inbound_link::link_time(&self.settings.proxy, self.inbound_link.pending_bytes());
         self.slots.load().and_wait(wait)
     }
 
     /// Records a run time in the mean of its kind, and its ratio to that mean in the attempt of
-    /// `resources`. Calls that the upstream failed are left out, as their time says nothing.
+    /// `resources`. Calls that the upstream failed are left out, as they may take any time.
     pub fn record_run_time(
         &self,
         kind: &str,
@@ -342,8 +342,8 @@
     /// Applies a configuration and a view of the mesh together.
     pub fn rebuild(&self, applied: Arc<mesh::Applied>, view: &view::View) {
         self.rebuild_picker(&applied.mesh, view);
-        let names = |name: &SmolStr| applied.mesh.services.iter().any(|s| s.name == *name);
-        self.budgets.borrow_mut().retain(|name, _| names(name));
+        let exists = |name: &SmolStr| applied.mesh.services.iter().any(|s| s.name == *name);
+        self.budgets.borrow_mut().retain(|name, _| exists(name));
         self.traffic_split.borrow_mut().retain(&applied.mesh);
         let kinds: collections::HashSet<&SmolStr> =
             applied.mesh.kinds.iter().map(|k| &k.name).collect();
--- a/src/proxy/trace.rs
+++ b/src/proxy/trace.rs
@@ -88,7 +88,7 @@
     pub reason: retry::Reason,
     /// Load of the upstream.
     pub load: admit::Load,
-    /// Time remaining until the target latency ends.
+    /// Time remaining to meet the target latency.
     pub target: time::Duration,
     /// Time remaining until the deadline.
     pub remaining: time::Duration,
@@ -135,7 +135,8 @@
 }
 
 impl Trace {
-    /// Number of lines left out since the last one; `None` if no line may be written now.
+    /// Reserves a line and returns the number of lines left out since the last one; `None` if no
+    /// line may be written now.
     fn reserve_line(&self, now: clock::Instant) -> Option<u64> {
         if now.since(self.since.get()) >= SECOND {
             self.since.set(now);
--- a/src/proxy/traffic_split.rs
+++ b/src/proxy/traffic_split.rs
@@ -13,7 +13,7 @@
 /// The state of each split route, by its name.
 #[derive(Debug, Default)]
 pub struct TrafficSplit {
-    turns: collections::HashMap<SmolStr, Shares>,
+    routes: collections::HashMap<SmolStr, Shares>,
 }
 
 /// How far each part of a route is behind its share.
@@ -31,13 +31,13 @@
         if route.split.is_empty() {
             return route.service;
         }
-        let known = self.turns.get_mut(&route.name);
-        if let Some(turns) = known.filter(|turns| turns.parts == route.split) {
-            return turns.next().unwrap_or(route.service);
+        let known = self.routes.get_mut(&route.name);
+        if let Some(shares) = known.filter(|shares| shares.parts == route.split) {
+            return shares.next().unwrap_or(route.service);
         }
-        let mut turns = Shares::new(&route.split);
-        let next = turns.next().unwrap_or(route.service);
-        self.turns.insert(route.name.clone(), turns);
+        let mut shares = Shares::new(&route.split);
+        let next = shares.next().unwrap_or(route.service);
+        self.routes.insert(route.name.clone(), shares);
         next
     }
 
@@ -45,7 +45,7 @@
     pub fn retain(&mut self, mesh: &mesh::Mesh) {
         let split = mesh.routes.iter().filter(|r| !r.split.is_empty());
         let names: collections::HashSet<&SmolStr> = split.map(|r| &r.name).collect();
-        self.turns.retain(|name, _| names.contains(name));
+        self.routes.retain(|name, _| names.contains(name));
     }
 }
 
@@ -62,9 +62,9 @@
         for (credit, part) in self.credits.iter_mut().zip(&self.parts) {
             *credit += i64::from(part.weight);
         }
-        let weighty = |&i: &usize| self.parts[i].weight > 0;
-        let richest = (0..self.parts.len()).filter(weighty).max_by_key(|&i| self.credits[i])?;
-        self.credits[richest] -= total;
-        Some(self.parts[richest].service)
+        let has_weight = |&i: &usize| self.parts[i].weight > 0;
+        let chosen = (0..self.parts.len()).filter(has_weight).max_by_key(|&i| self.credits[i])?;
+        self.credits[chosen] -= total;
+        Some(self.parts[chosen].service)
     }
 }
--- a/src/proxy/traffic_split/tests.rs
+++ b/src/proxy/traffic_split/tests.rs
@@ -51,7 +51,7 @@
 fn new_weights_reset_the_shares() {
     let mut traffic_split = traffic_split::TrafficSplit::default();
     traffic_split.next(&route(&[90, 10]));
-    let turned = route(&[10, 90]);
-    let first: Vec<u16> = (0..10).map(|_| traffic_split.next(&turned).0).collect();
+    let changed = route(&[10, 90]);
+    let first: Vec<u16> = (0..10).map(|_| traffic_split.next(&changed).0).collect();
     assert_eq!(first.iter().filter(|&&s| s == 1).count(), 9);
 }
--- a/src/proxy/upload.rs
+++ b/src/proxy/upload.rs
@@ -36,9 +36,9 @@
     _reservation: Option<body_memory::Reservation>,
 }
 
-/// Reads the frames of a body.
+/// Reads the frames of a body, and may delay them so that bodies share a link.
 pub trait FrameReader {
-    /// Reads the next frame of `rest` once that is allowed; `None` at the end.
+    /// Reads the next frame of `rest` as soon as it may be read; `None` at the end.
     fn next(
         &mut self,
         rest: &mut received_body::ReceivedBody,
