--- a/src/admit/concurrency.rs
+++ b/src/admit/concurrency.rs
@@ -60,7 +60,7 @@
 
     /// Records that the upstream shed a call while `others` ran.
     pub(super) fn shed(&mut self, others: usize) {
-        // An upstream that runs no other call has a free slot.
+        // An upstream that runs no other call has a free slot, so it sheds at random.
         if others == 0 || others < self.current.served.max(self.previous.served) {
             self.current.random = true;
             self.learned = self.announced;
--- a/src/admit/gate.rs
+++ b/src/admit/gate.rs
@@ -152,7 +152,7 @@
             Some(retry::Reason::TooLate)
         } else if self.has_slot() {
             None
-        } else if self.is_hopeless(position, call, now) {
+        } else if self.misses_deadline(position, call, now) {
             Some(retry::Reason::TooLate)
         } else if !call.nested && self.queue.len() > 0 && self.is_late(position, call, now) {
             Some(retry::Reason::Full)
@@ -198,7 +198,7 @@
             }
             self.run(call, now, actions);
         }
-        while let Some(waiter) = self.remove_hopeless(now) {
+        while let Some(waiter) = self.remove_too_late(now) {
             self.refuse(waiter, retry::Reason::TooLate, now, actions);
         }
     }
@@ -214,7 +214,7 @@
     }
 
     /// Removes a waiter that can't meet its deadline.
-    fn remove_hopeless(&mut self, now: clock::Instant) -> Option<admit::Call> {
+    fn remove_too_late(&mut self, now: clock::Instant) -> Option<admit::Call> {
         let (slots, stalled) = (self.shared_slots(), self.stalled(now));
         let mut work = self.running_time(stalled);
         let times = &self.times;
@@ -226,7 +226,7 @@
     }
 
     /// Whether a call that is queued at `position` can't meet its deadline.
-    fn is_hopeless(&self, position: usize, waiter: &admit::Call, now: clock::Instant) -> bool {
+    fn misses_deadline(&self, position: usize, waiter: &admit::Call, now: clock::Instant) -> bool {
         self.times.misses(waiter.kind, waiter.deadline, self.expected_wait(position, now), now)
     }
 
--- a/src/admit/service_times.rs
+++ b/src/admit/service_times.rs
@@ -9,7 +9,7 @@
 const SMOOTHING: u32 = 8;
 
 /// A call is refused as too late only if its deadline leaves less than the mean service time of its
-/// kind divided by this. It spares calls that may still run faster than the mean.
+/// kind divided by this, as it may run faster than the mean.
 const MIN_TIME_DIVISOR: u32 = 2;
 
 /// Smoothed mean of run times and of their deviation from it.
@@ -38,8 +38,8 @@
         if index >= self.kinds.len() {
             self.kinds.resize(index + 1, None);
         }
-        mix(&mut self.kinds[index], took);
-        mix(&mut self.all, took);
+        smooth(&mut self.kinds[index], took);
+        smooth(&mut self.all, took);
     }
 
     /// The mean of all kinds in microseconds; 0 before a call has ended.
@@ -82,7 +82,7 @@
     }
 }
 
-fn mix(mean: &mut Option<Mean>, took: time::Duration) {
+fn smooth(mean: &mut Option<Mean>, took: time::Duration) {
     let Some(mean) = mean else {
         *mean = Some(Mean { time: took, deviation: time::Duration::ZERO });
         return;
--- a/src/admit/tests.rs
+++ b/src/admit/tests.rs
@@ -274,7 +274,7 @@
     assert_eq!((harness.gate.load().slots, harness.gate.load().service_us), (4, 0));
 }
 
-/// The arrival of a call that a running call waits for.
+/// The arrival of a nested call, for which a running call waits.
 fn nested(ticket: u64, target: u64, deadline: u64) -> admit::Event {
     let (ticket, target, deadline) = (admit::Ticket(ticket), at(target), at(deadline));
     let call = admit::Call { ticket, kind: PLAIN, weight: BROWSE, nested: true, target, deadline };
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn calls_of_running_calls_run_before_new_work() {
+fn nested_calls_run_before_new_work() {
     let mut harness = Harness::new(1, 2);
     harness.arrive(1, BROWSE, 1000, 0);
     harness.arrive(2, ORDER, 1000, 0);
@@ -294,7 +294,7 @@
 
 /// The call would miss its own target, but without it the run of its caller would be lost.
 #[test]
-fn calls_of_running_calls_are_refused_only_for_their_deadline() {
+fn nested_calls_are_refused_only_for_their_deadline() {
     let mut harness = Harness::new(1, 9);
     harness.arrive(1, BROWSE, 10_000, 0);
     harness.end(1, 100);
--- a/src/admit/wait_ratio.rs
+++ b/src/admit/wait_ratio.rs
@@ -15,7 +15,7 @@
 /// Means of the actual and of the expected waits.
 ///
 /// The expected wait takes account of the calls that are queued already. Calls that come later and
-/// are placed before them, such as the calls of running calls, make the actual wait longer.
+/// are placed before them, such as nested calls, make the actual wait longer.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct WaitRatio {
     /// Mean of the expected waits, in seconds.
