--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -15,7 +15,7 @@
 /// The budget of extra attempts of one service.
 ///
 /// Invariant: in any period, there are at most `percent` extra attempts per hundred calls that
-/// earned, plus the floor.
+/// earned, plus the capacity of the bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     /// What fills the bucket.
@@ -23,29 +23,29 @@
     /// Hundredths of a token that a call earns.
     percent: u32,
     /// Capacity in hundredths of a token; the bucket starts full.
-    max: u32,
+    capacity: u32,
     /// Content in hundredths of a token.
     remaining: u32,
 }
 
 impl Budget {
-    /// A full bucket of `floor` extra attempts that earns `percent` more per hundred served calls.
-    pub fn new(percent: u8, floor: u16) -> Self {
-        Self::earning(Earn::Served, percent, floor)
+    /// A full bucket of `burst` extra attempts that earns `percent` more per hundred served calls.
+    pub fn new(percent: u8, burst: u16) -> Self {
+        Self::earning(Earn::Served, percent, burst)
     }
 
-    /// A full bucket of `floor` extra attempts that earns `percent` more per hundred calls of the
+    /// A full bucket of `burst` extra attempts that earns `percent` more per hundred calls of the
     /// kind `earn`.
-    pub fn earning(earn: Earn, percent: u8, floor: u16) -> Self {
-        let max = u32::from(floor) * ATTEMPT_COST;
-        Self { earn, percent: u32::from(percent), max, remaining: max }
+    pub fn earning(earn: Earn, percent: u8, burst: u16) -> Self {
+        let capacity = u32::from(burst) * ATTEMPT_COST;
+        Self { earn, percent: u32::from(percent), capacity, remaining: capacity }
     }
 
     /// Changes the limits; the content is reduced to the new capacity if it exceeds it.
-    pub fn set_limits(&mut self, percent: u8, floor: u16) {
+    pub fn set_limits(&mut self, percent: u8, burst: u16) {
         self.percent = u32::from(percent);
-        self.max = u32::from(floor) * ATTEMPT_COST;
-        self.remaining = self.remaining.min(self.max);
+        self.capacity = u32::from(burst) * ATTEMPT_COST;
+        self.remaining = self.remaining.min(self.capacity);
     }
 
     /// Records a call that arrived.
@@ -77,6 +77,6 @@
     }
 
     fn fill(&mut self) {
-        self.remaining = (self.remaining + self.percent).min(self.max);
+        self.remaining = (self.remaining + self.percent).min(self.capacity);
     }
 }
--- a/src/retry/tests.rs
+++ b/src/retry/tests.rs
@@ -126,9 +126,9 @@
     fn a_total_outage_costs_at_most_a_tenth_more_attempts(
         calls in 1000_u32..20_000,
         attempts in 1_u8..8,
-        floor in 0_u16..50,
+        burst in 0_u16..50,
     ) {
-        let mut budget = retry::Budget::new(10, floor);
+        let mut budget = retry::Budget::new(10, burst);
         let mut total = 0_u32;
         for _ in 0..calls {
             budget.record_arrival();
