--- a/src/rollout/counts.rs
+++ b/src/rollout/counts.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The sums of both counts.
+    /// The counts of `self` and `other` added up.
     pub const fn plus(self, other: Self) -> Self {
         Self {
             answers: self.answers.saturating_add(other.answers),
--- a/src/rollout/judge.rs
+++ b/src/rollout/judge.rs
@@ -13,7 +13,7 @@
 
 /// Share beyond the margin that the test assumes of a bad version; one with less is found later or
 /// not at all.
-const HARM: f64 = 0.12;
+const EXCESS_SHARE: f64 = 0.12;
 
 /// Answers of the old version for which the prior counts, so that there is an estimate before any
 /// answer has come.
@@ -40,10 +40,10 @@
 /// Logarithm of how much likelier `new` is for a bad version than for a sound one.
 fn log_ratio(new: counts::AnswerCounts, old: counts::AnswerCounts) -> f64 {
     let sound = sound_share(old);
-    let harmful = sound + HARM;
+    let bad_share = sound + EXCESS_SHARE;
     let bad = f64::from(new.bad);
     let good = f64::from(new.answers.saturating_sub(new.bad));
-    bad * (harmful / sound).ln() + good * ((1.0 - harmful) / (1.0 - sound)).ln()
+    bad * (bad_share / sound).ln() + good * ((1.0 - bad_share) / (1.0 - sound)).ln()
 }
 
 /// The share of bad answers that a sound version may have.
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! An operator orders a move, and upstreams of the new version start beside those of the old one.
 //! Every entry node follows the order by itself, from what it reads in the configuration and in its
-//! view of the hosts, without an agreement; a node that does not know of the order sends no calls
+//! view of the hosts, without coordination; a node that does not know of the order sends no calls
 //! to the new version ([`plan`]). The nodes beside new upstreams count the answers of these. The
 //! counts travel with the membership messages, and each node compares them with the answers that it
 //! gets from the old version ([`judge`]).
--- a/src/rollout/plan.rs
+++ b/src/rollout/plan.rs
@@ -8,7 +8,7 @@
 
 /// Share of a service's calls that an unproven version gets, in thousandths. It is half of the
 /// tenth that the users allow a bad version, so that a third of the nodes may be late, and the
-/// first steps of the move still fit in if the version turns bad at that time.
+/// first steps of the move still fit in if the version turns bad during them.
 pub const TRIAL_PERMILLE: u32 = 50;
 
 /// Shares of the calls that a proven version gets in successive steps, in thousandths.
--- a/src/rollout/status.rs
+++ b/src/rollout/status.rs
@@ -65,7 +65,7 @@
         matches!(self, Self::Completed | Self::RolledBack)
     }
 
-    /// The stage that a node takes over from this state; `None` while the order is under way.
+    /// The stage that a node adopts from this published state; `None` while the order is under way.
     pub const fn stage(self) -> Option<rollout::Stage> {
         match self {
             Self::Serving => None,
@@ -87,7 +87,7 @@
 
 /// The status of `progress` if it is not in `published` yet.
 ///
-/// The first final state of an order stands: a node that comes to another one later does not
+/// The first final state of an order is kept: a node that reaches a different one later does not
 /// publish it.
 pub fn unpublished(progress: &table::Progress, published: &StatusList) -> Option<Status> {
     let state = State::from(progress.stage);
--- a/src/rollout/stream.rs
+++ b/src/rollout/stream.rs
@@ -8,11 +8,11 @@
 use crate::logs;
 use crate::rollout::status;
 
-/// Records read at once at most.
+/// Maximum number of records in one read.
 const BATCH_RECORDS: u32 = 256;
 
 /// Statuses as records of a stream. The last record of a service is its status, but the first final
-/// state of an order stands.
+/// state of an order is kept.
 #[derive(Clone, Debug)]
 pub struct Stream<L> {
     log: L,
--- a/src/rollout/table.rs
+++ b/src/rollout/table.rs
@@ -10,11 +10,11 @@
 use crate::rollout;
 use crate::view;
 
-/// Time for which the table is not idle after a version without an order may get calls, so that the
-/// upstreams are classified once more.
+/// How long the table still counts as active after a version without an order may get calls, so
+/// that the upstreams are classified once more.
 const IDLE_DELAY: time::Duration = time::Duration::from_secs(1);
 
-/// Time without calls for a version that appears beside another one without an order. An order
+/// How long a new version without an order gets no calls while another version serves. An order
 /// takes some seconds to reach a node, or longer if the node is cut off. Without this delay, nodes
 /// that learn of an order late, up to a third of all, would send half of their calls to an
 /// untested version.
@@ -227,7 +227,8 @@
         let rejected = entry.plan.has_rejected();
         let order = entry.order.number;
         if upstream.version != entry.order.version {
-            // A node beside an old upstream reports only that it has found the new version bad.
+            // The report is sent to all hosts, so a node beside an old upstream sends one only if it
+            // has found the new version bad.
             let order = if rejected { order } else { 0 };
             return rollout::TrialReport { order, rejected, ..rollout::TrialReport::default() };
         }
