--- a/src/quarantine/answers.rs
+++ b/src/quarantine/answers.rs
@@ -10,7 +10,7 @@
 const SLOTS: usize = 1024;
 
 /// Time for which an answer shows its request to be harmless. A request that starts to crash
-/// upstreams is suspected after that time.
+/// upstreams is suspected only after that time.
 const ANSWER_TTL: time::Duration = time::Duration::from_secs(10);
 
 /// Cache of the latest answers. The fingerprint of a request determines its slot; a later answer
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -7,8 +7,9 @@
 //! is no central host and no shared store.
 //!
 //! Harmless requests run on an upstream when it crashes, too. A request is quarantined only after
-//! [`THRESHOLD`] upstreams have crashed under it and if no other request explains these crashes as
-//! well; an answer from an upstream that did not crash lifts the quarantine at any time.
+//! [`THRESHOLD`] upstreams have crashed under it, that is, while they ran it, and if no other request
+//! explains these crashes as well; an answer from an upstream that did not crash lifts the quarantine
+//! at any time.
 
 mod answers;
 mod channel;
@@ -40,8 +41,8 @@
 /// suspected requests, so that the next crash tells which of them is the cause.
 pub const SUSPICION_THRESHOLD: u8 = 2;
 
-/// Fingerprints reported with one crash at most. Few upstreams run more calls than this at once;
-/// requests that were running at earlier crashes are reported first.
+/// Maximum number of fingerprints reported with one crash. Few upstreams run more calls than this
+/// at once; requests that were running at earlier crashes are reported first.
 pub const MAX_FINGERPRINTS: usize = 64;
 
 /// What a node's calls report to its membership duty.
--- a/src/quarantine/table.rs
+++ b/src/quarantine/table.rs
@@ -10,15 +10,15 @@
 use crate::host;
 use crate::quarantine;
 
-/// Crashes kept at most. Upstreams take seconds to restart, so that a dozen of them need at least a
-/// minute to fill this; crashes that prove a quarantine are dropped last.
+/// Maximum number of crashes kept. Upstreams take seconds to restart, so that a dozen of them need
+/// at least a minute to fill this; crashes that prove a quarantine are dropped last.
 const MAX_CRASHES: usize = 256;
 
 /// Time for which a crash is kept. It is shorter than the time for which an answer that lifts it is
 /// kept.
 const CRASH_TTL: time::Duration = time::Duration::from_secs(600);
 
-/// Entries kept at most.
+/// Maximum number of entries kept.
 const MAX_ENTRIES: usize = 1024;
 
 /// Digest of [`Table::quarantined`], by which hosts compare their tables; all zero if there are no
