--- a/src/admit/queue.rs
+++ b/src/admit/queue.rs
@@ -1,6 +1,6 @@
 //! The calls that wait for a slot. Nested calls, for which running calls wait, come first, then the
-//! heaviest ones. Among calls of the same rank those of one kind are in order of arrival, and of two
-//! kinds the call that has to start sooner comes first.
+//! heaviest ones. Among calls of the same rank those of one kind are in order of arrival, and of
+//! two kinds the call that has to start sooner comes first.
 
 use std::collections;
 use std::time;
--- a/src/proxy/frame.rs
+++ b/src/proxy/frame.rs
@@ -3,7 +3,7 @@
 //! hyper reads the next request of a connection only after it has answered the previous one. To run
 //! pipelined requests concurrently, the bytes of a connection are split into requests first. The
 //! rules are stricter than those of hyper, to prevent request smuggling: a request whose length two
-//! parsers might understand differently is refused.
+//! parsers might understand differently is refused, as its rest could pass for another request.
 
 use crate::retry;
 
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -7,9 +7,9 @@
 //! is no central host and no shared store.
 //!
 //! Harmless requests run on an upstream when it crashes, too. A request is quarantined only after
-//! [`THRESHOLD`] upstreams have crashed under it, that is, while they ran it, and if no other request
-//! explains these crashes as well; an answer from an upstream that did not crash lifts the quarantine
-//! at any time.
+//! [`THRESHOLD`] upstreams have crashed under it, that is, while they ran it, and if no other
+//! request explains these crashes as well; an answer from an upstream that did not crash lifts the
+//! quarantine at any time.
 
 mod answers;
 mod channel;
--- a/src/rollout/table.rs
+++ b/src/rollout/table.rs
@@ -227,8 +227,8 @@
         let rejected = entry.plan.has_rejected();
         let order = entry.order.number;
         if upstream.version != entry.order.version {
-            // The report is sent to all hosts, so a node beside an old upstream sends one only if it
-            // has found the new version bad.
+            // The report is sent to all hosts, so a node beside an old upstream sends one only if
+            // it has found the new version bad.
             let order = if rejected { order } else { 0 };
             return rollout::TrialReport { order, rejected, ..rollout::TrialReport::default() };
         }
