--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -35,6 +35,7 @@
 pub mod reply;
 pub mod request_head;
 pub mod resources;
+pub mod rollouts;
 pub mod run_times;
 pub mod running_calls;
 pub mod serve;
@@ -45,7 +46,6 @@
 pub mod trace;
 pub mod traffic_split;
 pub mod upload;
-pub mod versions;
 pub mod wiring;
 
 pub use dialect::Dialect;
--- a/src/proxy/versions.rs
+++ b/src/proxy/rollouts.rs
@@ -31,13 +31,13 @@
 
 /// The state of the roll-outs on the call path.
 #[derive(Debug, Default)]
-pub struct Versions {
+pub struct Rollouts {
     table: RefCell<rollout::Table>,
     /// Results observed at the local upstream.
     trial: Cell<rollout::TrialReport>,
 }
 
-impl Versions {
+impl Rollouts {
     /// Applies the roll-out orders of `mesh` and the hosts' reports in `view`.
     pub fn update(&self, mesh: &mesh::Mesh, view: &view::View, now: clock::Instant) {
         self.table.borrow_mut().update(mesh, view, now);
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -34,6 +34,7 @@
 use crate::proxy::quarantine_filter;
 use crate::proxy::refuse;
 use crate::proxy::resources;
+use crate::proxy::rollouts;
 use crate::proxy::run_times;
 use crate::proxy::running_calls;
 use crate::proxy::sizes;
@@ -41,7 +42,6 @@
 use crate::proxy::trace;
 use crate::proxy::traffic_split;
 use crate::proxy::upload;
-use crate::proxy::versions;
 use crate::proxy::wiring;
 use crate::quarantine;
 use crate::retry;
@@ -110,7 +110,7 @@
     /// Failed calls whose callers may retry.
     pub caller_retries: RefCell<caller_retries::CallerRetries>,
     /// State of the roll-outs.
-    pub rollouts: versions::Versions,
+    pub rollouts: rollouts::Rollouts,
     /// Divides the calls of split routes between services.
     pub traffic_split: RefCell<traffic_split::TrafficSplit>,
     /// Memory for buffered bodies of requests.
@@ -180,7 +180,7 @@
             crashes,
             fingerprinter: quarantine::Fingerprinter::new(&seal),
             seal,
-            rollouts: versions::Versions::default(),
+            rollouts: rollouts::Rollouts::default(),
             traffic_split: RefCell::default(),
             body_memory: Rc::new(body_memory::BodyMemory::new(proxy.kept_bytes)),
             inbound_link: inbound_link::InboundLink::new(inbound_link::Plan::new(proxy)),
@@ -288,17 +288,17 @@
         &self,
         kind: &str,
         result: &Result<http::Response<body::Reply>, refuse::Refusal>,
-    ) -> Option<versions::Observation> {
+    ) -> Option<rollouts::Observation> {
         match result {
             Ok(answer) => {
                 let ran = answer.extensions().get::<call_spec::RunTime>();
                 let times = ran.map(|ran| ran.0).zip(self.run_times.borrow().mean(kind));
-                Some(versions::Observation { failed: answer.status().is_server_error(), times })
+                Some(rollouts::Observation { failed: answer.status().is_server_error(), times })
             }
             Err(refusal) => match refusal.outcome {
                 retry::Outcome::Unknown(
                     retry::Reason::Cut | retry::Reason::Malformed | retry::Reason::Timeout,
-                ) => Some(versions::Observation { failed: true, times: None }),
+                ) => Some(rollouts::Observation { failed: true, times: None }),
                 _ => None,
             },
         }
