--- a/src/proxy/slots.rs
+++ b/src/proxy/slots.rs
@@ -38,13 +38,13 @@
     pub weight: u32,
     /// Whether the call is nested, so that a running call waits for it.
     pub nested: bool,
-    /// When the target latency of the call ends.
+    /// Time by which the call must be answered to meet its target latency.
     pub target: clock::Instant,
     /// When the gate must have decided.
     pub deadline: clock::Instant,
 }
 
-/// Numbers of the kinds, by which the gate knows them.
+/// Assigns the numbers by which the gate identifies kinds.
 #[derive(Debug, Default)]
 struct Kinds {
     names: Vec<SmolStr>,
@@ -122,7 +122,7 @@
         self.waiters.borrow_mut().insert(ticket, sender);
         // From here on, the call leaves the queue if this future is dropped.
         let slot = Slot { slots: Rc::clone(self), ticket, ended: false };
-        let call = admit::Call { ticket, kind, weight, inner: nested, target, deadline };
+        let call = admit::Call { ticket, kind, weight, nested, target, deadline };
         self.handle(admit::Event::Arrive(call));
         if let Ok(verdict) = receiver.try_recv() {
             return verdict.map(|()| slot);
@@ -150,7 +150,7 @@
         let ticket = admit::Ticket(self.next.replace(self.next.get() + 1));
         let kind = self.kinds.borrow_mut().number(request.kind);
         let &Request { weight, nested, target, deadline, .. } = request;
-        let call = admit::Call { ticket, kind, weight, inner: nested, target, deadline };
+        let call = admit::Call { ticket, kind, weight, nested, target, deadline };
         match self.gate.borrow().preview(&call, self.ctx.now()) {
             Some(admit::Action::Refuse { reason, retry_after, .. }) => {
                 Err(Refused { reason, retry_after })
