--- a/src/bench/fleet/host.rs
+++ b/src/bench/fleet/host.rs
@@ -16,11 +16,11 @@
 /// One host of a fleet: a loopback address with a node and perhaps an upstream.
 #[derive(Debug)]
 pub struct Host {
-    /// Its place among the hosts of the fleet.
+    /// Its index in the fleet's list of hosts.
     pub index: usize,
     /// Identity and addresses of its node.
     pub id: host::HostId,
-    /// Addresses its node binds; others than `id` behind a fault proxy.
+    /// Addresses that its node binds; they differ from `id` behind a fault proxy.
     pub bound: host::HostId,
     /// Region.
     pub region: SmolStr,
@@ -33,30 +33,30 @@
 }
 
 impl Host {
-    /// A host known by `ip` whose node binds `bound`, in a region and a zone.
+    /// A host known by `ip` whose node binds `bound`, in the region and zone `locality`.
     pub(super) fn new(
         index: usize,
         ip: net::IpAddr,
         bound: net::IpAddr,
-        place: (SmolStr, SmolStr),
+        locality: (SmolStr, SmolStr),
     ) -> Self {
-        let (region, zone) = place;
+        let (region, zone) = locality;
         let id = host::HostId::new(net::SocketAddr::new(ip, NODE_PORT));
         let bound = host::HostId::new(net::SocketAddr::new(bound, NODE_PORT));
         Self { index, id, bound, region, zone, group: None, node: None, upstream: None }
     }
 
-    /// Base address by which it is known, as rules of the fault proxy name it.
+    /// Base address by which other hosts and the rules of the fault proxy know it.
     pub fn base(&self) -> net::SocketAddr {
         self.id.member_addr()
     }
 
-    /// Where its upstream takes calls.
+    /// Address of its upstream's port for calls.
     pub fn upstream_addr(&self) -> net::SocketAddr {
         net::SocketAddr::new(self.bound.member_addr().ip(), UPSTREAM_PORT)
     }
 
-    /// Where its upstream takes control.
+    /// Address of its upstream's port for control.
     pub fn control_addr(&self) -> net::SocketAddr {
         net::SocketAddr::new(self.bound.member_addr().ip(), UPSTREAM_PORT + 1)
     }
@@ -66,12 +66,12 @@
         self.group.as_ref().map(|g| &g.service)
     }
 
-    /// Process id of its node while it has one.
+    /// Process id of its node; `None` while there is none.
     pub fn node_pid(&self) -> Option<u32> {
         self.node.as_ref().map(process::Process::id)
     }
 
-    /// Process id of its upstream while it has one.
+    /// Process id of its upstream; `None` while there is none.
     pub fn upstream_pid(&self) -> Option<u32> {
         self.upstream.as_ref().map(process::Process::id)
     }
--- a/src/bench/fleet/layout.rs
+++ b/src/bench/fleet/layout.rs
@@ -1,4 +1,4 @@
-//! Where the hosts of a fleet stand and with what settings their processes start.
+//! The regions, zones and addresses of a fleet's hosts, and the settings of their processes.
 
 use std::net;
 
@@ -9,23 +9,24 @@
 use crate::bench::fleet::plan;
 use crate::configs;
 
-/// Hosts that nodes join through.
-const JOINS: usize = 3;
+/// Maximum number of hosts in a node's join list.
+const MAX_JOIN_HOSTS: usize = 3;
 
-/// The hosts of `plan`, without processes.
+/// The hosts of `plan`, whose processes have not been started yet.
 pub fn hosts(plan: &plan::Plan, network: &network::Network) -> Vec<host::Host> {
     let groups = plan.groups.iter().flat_map(|group| std::iter::repeat_n(group, group.count));
     let groups = groups.map(Some).chain(std::iter::repeat_n(None, plan.plain));
     let placed = groups.enumerate().map(|(index, group)| {
-        let mut host = place(plan, network, index);
+        let mut host = new_host(plan, network, index);
         host.group = group.cloned();
         host
     });
     placed.collect()
 }
 
-/// The host number `index` in its zone; zones are taken in turn and shared out to the regions.
-pub fn place(plan: &plan::Plan, network: &network::Network, index: usize) -> host::Host {
+/// The host `index` with its addresses, zone and region. Hosts are assigned to the zones in turn,
+/// and zones to the regions.
+pub fn new_host(plan: &plan::Plan, network: &network::Network, index: usize) -> host::Host {
     let zone = index % plan.zones;
     let region = zone % plan.regions;
     let names = (format_smolstr!("region-{region}"), format_smolstr!("zone-{zone}"));
@@ -34,7 +35,7 @@
     host::Host::new(index, known, bound, names)
 }
 
-/// Arguments of the upstream of `host`, which announces itself when there is a `node`.
+/// Arguments of the upstream of `host`, which announces itself to its node if `node`.
 pub fn arguments(host: &host::Host, group: &plan::Group, node: bool) -> Vec<String> {
     let mut arguments = vec!["upstream".to_owned()];
     let mut add = |name: &str, value: String| arguments.extend([name.to_owned(), value]);
@@ -59,7 +60,7 @@
     arguments
 }
 
-/// Settings of the node of `host`, one of `hosts`.
+/// Settings of the node of `host`, which is one of `hosts`.
 pub fn settings(
     plan: &plan::Plan,
     hosts: &[host::Host],
@@ -67,7 +68,7 @@
     log: net::SocketAddr,
 ) -> configs::Node {
     let mut settings = plan.settings.clone();
-    let joins = hosts.iter().filter(|other| other.index != host.index).take(JOINS);
+    let joins = hosts.iter().filter(|other| other.index != host.index).take(MAX_JOIN_HOSTS);
     settings.join = joins.map(|other| other.base()).collect();
     settings.listen = host.base();
     settings.bind = (host.bound != host.id).then(|| host.bound.member_addr());
@@ -83,7 +84,8 @@
     settings
 }
 
-/// Arguments of the fault proxy for `hosts` and a link from the log's known to its own address.
+/// Arguments of the fault proxy for `hosts` and for `log`: the address by which nodes know the
+/// log, and its own.
 pub fn fault_arguments(
     control: net::SocketAddr,
     hosts: &[host::Host],
--- a/src/bench/fleet/mod.rs
+++ b/src/bench/fleet/mod.rs
@@ -1,8 +1,8 @@
 //! A fleet of real processes on loopback: log stand-in, nodes, upstream stand-ins.
 //!
-//! A [`Plan`] says what runs; [`Fleet::start`] runs it, each host on a loopback address of its
-//! own; the fleet kills, pauses, stops and restarts processes by their ids and ends all of them
-//! when it is dropped, also on a panic.
+//! A [`Plan`] says which processes run. [`Fleet::start`] starts them, each host on a loopback
+//! address of its own. The fleet can kill, pause, stop and restart single processes, and kills all
+//! of them when it is dropped, also on a panic.
 //!
 //! # Example
 //!
@@ -49,12 +49,12 @@
 pub use run::Fleet;
 pub use stat::Stat;
 
-/// Most processes a fleet may have.
+/// Maximum number of processes of a fleet.
 pub const MAX_PROCESSES: usize = 420;
-/// How long a whole fleet is usually given to get where it should be.
+/// Usual time limit for all nodes of a fleet to become ready.
 pub const READY_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-/// Which process of a host.
+/// One of the processes of a host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Part {
     /// The node.
@@ -63,7 +63,7 @@
     Upstream,
 }
 
-/// What went wrong with a fleet.
+/// Why an operation on a fleet failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The plan asks for too many processes.
@@ -81,16 +81,16 @@
     /// The host has no such process.
     #[error("host {0} has no such process")]
     NoProcess(usize),
-    /// A process ended by itself; the end of its output follows.
-    #[error("{0} ended by itself: {1}")]
+    /// A process exited unexpectedly; the last part of its output follows.
+    #[error("{0} exited unexpectedly: {1}")]
     Ended(String, String),
-    /// Something did not come about in time.
+    /// A state was not reached in time.
     #[error("not in time: {0}")]
     Late(String),
-    /// A process does not answer.
+    /// A process did not respond.
     #[error(transparent)]
     Http(#[from] http::Error),
-    /// A process answered with another status than success.
+    /// A process responded with a status other than success.
     #[error("{0} answered {1}")]
     Status(net::SocketAddr, ::http::StatusCode),
     /// Settings can't be written or an answer can't be read as JSON.
--- a/src/bench/fleet/network.rs
+++ b/src/bench/fleet/network.rs
@@ -1,26 +1,26 @@
-//! Ranges of loopback addresses that fleets of several processes share out among themselves.
+//! Reserves ranges of loopback addresses, so that fleets of several processes do not collide.
 
 use std::net;
 use std::process;
 
 use crate::bench::fleet;
 
-/// First second octet used, so that 127.0.0.1 and its neighbours stay free.
-const FIRST: u32 = 64;
-/// Number of second octets used.
-const SECONDS: u32 = 128;
-/// Third octets in a range.
-const WIDTH: u32 = 4;
-/// Ranges in one second octet.
-const RANGES: u32 = 60;
-/// Hosts on one third octet.
-const ROW: usize = 200;
-/// First third octet, counted from the range's first, of addresses bound behind a proxy.
+/// First value of the second octet, which keeps 127.0.0.1 and its neighbours free.
+const FIRST_OCTET: u32 = 64;
+/// Number of values of the second octet.
+const OCTET_COUNT: u32 = 128;
+/// Number of values of the third octet (rows) in a range.
+const ROWS_PER_RANGE: u32 = 4;
+/// Number of ranges under each value of the second octet.
+const RANGES_PER_OCTET: u32 = 60;
+/// Number of hosts in a row.
+const HOSTS_PER_ROW: usize = 200;
+/// First row of a range for the addresses that nodes bind behind a fault proxy.
 const BOUND_ROW: usize = 2;
-/// Port whose listener holds the range.
+/// Port on which a listener reserves the range.
 const LOCK_PORT: u16 = 7099;
 
-/// A range of loopback addresses, ours while this value lives.
+/// A range of loopback addresses, reserved until this value is dropped.
 #[derive(Debug)]
 pub struct Network {
     second: u8,
@@ -29,17 +29,17 @@
 }
 
 impl Network {
-    /// A range nobody else has, looked for from a place that depends on the process id.
+    /// Reserves a free range; the search starts at a range that depends on the process id.
     pub fn claim() -> Result<Self, fleet::Error> {
-        let all = SECONDS * RANGES;
-        let from = process::id().wrapping_mul(RANGES + 1) % all;
+        let all = OCTET_COUNT * RANGES_PER_OCTET;
+        let from = process::id().wrapping_mul(RANGES_PER_OCTET + 1) % all;
         let tries = (0..all).map(|step| (from + step) % all);
         tries.filter_map(Self::lock).next().ok_or(fleet::Error::NoRange)
     }
 
     fn lock(range: u32) -> Option<Self> {
-        let second = u8::try_from(FIRST + range / RANGES).ok()?;
-        let third = u8::try_from(range % RANGES * WIDTH).ok()?;
+        let second = u8::try_from(FIRST_OCTET + range / RANGES_PER_OCTET).ok()?;
+        let third = u8::try_from(range % RANGES_PER_OCTET * ROWS_PER_RANGE).ok()?;
         let ip = net::Ipv4Addr::new(127, second, third, 254);
         let lock = net::TcpListener::bind((ip, LOCK_PORT)).ok()?;
         Some(Self { second, third, _lock: lock })
@@ -47,15 +47,15 @@
 
     /// Address of the host number `index`, below 400.
     pub fn host(&self, index: usize) -> net::IpAddr {
-        let row = u8::try_from(index / ROW).unwrap_or(u8::MAX);
-        let column = u8::try_from(index % ROW + 1).unwrap_or(u8::MAX);
+        let row = u8::try_from(index / HOSTS_PER_ROW).unwrap_or(u8::MAX);
+        let column = u8::try_from(index % HOSTS_PER_ROW + 1).unwrap_or(u8::MAX);
         self.ip(row, column)
     }
 
-    /// Address the node of host number `index`, below 400, binds when a proxy holds its own.
+    /// Address that the node of host number `index`, below 400, binds behind a fault proxy.
     pub fn bound(&self, index: usize) -> net::IpAddr {
-        let row = u8::try_from(index / ROW + BOUND_ROW).unwrap_or(u8::MAX);
-        let column = u8::try_from(index % ROW + 1).unwrap_or(u8::MAX);
+        let row = u8::try_from(index / HOSTS_PER_ROW + BOUND_ROW).unwrap_or(u8::MAX);
+        let column = u8::try_from(index % HOSTS_PER_ROW + 1).unwrap_or(u8::MAX);
         self.ip(row, column)
     }
 
--- a/src/bench/fleet/plan.rs
+++ b/src/bench/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! What a fleet consists of.
+//! The plan of a fleet: its hosts, processes and settings.
 
 use std::env;
 use std::path;
@@ -18,7 +18,7 @@
 }
 
 impl Programs {
-    /// The programs beside the one that runs, as cargo builds them.
+    /// The programs in the directory of the current one, where cargo puts them.
     pub fn beside() -> Result<Self, fleet::Error> {
         let own = env::current_exe().map_err(|e| fleet::Error::File("/proc/self/exe".into(), e))?;
         let dir = own.parent().unwrap_or(path::Path::new("."));
@@ -27,7 +27,7 @@
     }
 }
 
-/// A group of hosts whose upstreams are alike.
+/// A group of hosts whose upstreams have the same settings.
 #[derive(Clone, Debug)]
 pub struct Group {
     pub(super) service: SmolStr,
@@ -65,25 +65,25 @@
         self
     }
 
-    /// Calls each upstream runs at once.
+    /// Maximum number of concurrent calls of each upstream.
     pub fn slots(mut self, slots: u16) -> Self {
         self.slots = slots;
         self
     }
 
-    /// Connections each upstream keeps open.
+    /// Maximum number of open connections of each upstream.
     pub fn connections(mut self, connections: u16) -> Self {
         self.connections = connections;
         self
     }
 
-    /// Time each upstream is cold after its start, in milliseconds.
+    /// Length of the cold start of each upstream, in milliseconds.
     pub fn cold_ms(mut self, millis: u64) -> Self {
         self.cold_ms = millis;
         self
     }
 
-    /// Time each upstream still runs calls after it announced its drain, in milliseconds.
+    /// How long each upstream still accepts calls after it announced its drain, in milliseconds.
     pub fn grace_ms(mut self, millis: u64) -> Self {
         self.grace_ms = millis;
         self
@@ -95,7 +95,7 @@
         self
     }
 
-    /// Path prefix of the calls that end the upstream that runs them.
+    /// Path prefix of the calls that crash the upstream that runs them.
     pub fn crash(mut self, prefix: &str) -> Self {
         self.crash = Some(SmolStr::new(prefix));
         self
@@ -108,7 +108,7 @@
     }
 }
 
-/// What a fleet consists of, built by chained setters.
+/// The plan of a fleet, built by chained setters.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub(super) programs: Programs,
@@ -124,7 +124,7 @@
 }
 
 impl Plan {
-    /// A fleet of a log stand-in only, in one region of four availability zones.
+    /// A plan for a log stand-in only, with one region of four availability zones.
     pub fn new(programs: Programs) -> Self {
         Self {
             programs,
@@ -140,13 +140,13 @@
         }
     }
 
-    /// Number of regions the zones are shared out to.
+    /// Number of regions, to which the zones are assigned in turn.
     pub fn regions(mut self, regions: usize) -> Self {
         self.regions = regions.max(1);
         self
     }
 
-    /// Number of availability zones over all; hosts take them in turn.
+    /// Total number of availability zones, to which the hosts are assigned in turn.
     pub fn zones(mut self, zones: usize) -> Self {
         self.zones = zones.max(1);
         self
@@ -158,13 +158,13 @@
         self
     }
 
-    /// Number of further hosts that have a node and no upstream; they come last.
+    /// Number of hosts with a node but no upstream; they come last.
     pub fn hosts(mut self, count: usize) -> Self {
         self.plain = count;
         self
     }
 
-    /// Settings of every node; addresses, place, join list and log address are filled in.
+    /// Settings of every node; the fleet fills in addresses, region, zone, join list and log.
     pub fn settings(mut self, settings: configs::Node) -> Self {
         self.settings = settings;
         self
@@ -182,7 +182,7 @@
         self
     }
 
-    /// Whether the hosts have nodes; upstreams without nodes serve to measure them alone.
+    /// Whether the hosts have nodes; without them, upstreams can be measured alone.
     pub fn nodes(mut self, nodes: bool) -> Self {
         self.nodes = nodes;
         self
@@ -199,7 +199,7 @@
         self.plain + self.groups.iter().map(|g| g.count).sum::<usize>()
     }
 
-    /// Number of processes, the log stand-in and the fault proxy among them.
+    /// Number of processes, including the log stand-in and the fault proxy.
     pub fn process_count(&self) -> usize {
         let upstreams: usize = self.groups.iter().map(|g| g.count).sum();
         let nodes = if self.nodes { self.host_count() } else { 0 };
--- a/src/bench/fleet/process.rs
+++ b/src/bench/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One child process: start, signals, end.
+//! One child process: start, signals, exit.
 
 use std::fs;
 use std::io;
@@ -8,8 +8,8 @@
 
 use crate::bench::fleet;
 
-/// Bytes of output shown when a process ended by itself.
-const TAIL: usize = 2000;
+/// Size of the last part of the output that is shown when a process exited unexpectedly.
+const TAIL_BYTES: usize = 2000;
 
 /// A process started by a fleet. It is killed when this value is dropped.
 #[derive(Debug)]
@@ -44,12 +44,12 @@
         self.child.id()
     }
 
-    /// Sends `signal`; an error when the process has ended.
+    /// Sends `signal`; fails if the process has exited.
     pub fn signal(&mut self, signal: libc::c_int) -> Result<(), fleet::Error> {
-        self.running()?;
+        self.check_running()?;
         let pid = libc::pid_t::try_from(self.child.id()).unwrap_or(libc::pid_t::MAX);
-        // SAFETY: kill takes two integers. The child has not been waited for (see `running`), so
-        // its id is not another process's.
+        // SAFETY: kill takes two integers. The child has not been waited for (see `check_running`),
+        // so its id is not another process's.
         let done = unsafe { libc::kill(pid, signal) };
         if done == 0 {
             return Ok(());
@@ -57,20 +57,20 @@
         Err(fleet::Error::Process(self.name.clone(), io::Error::last_os_error()))
     }
 
-    /// Kills it and waits for its end.
+    /// Kills it and waits until it has exited.
     pub fn kill(&mut self) -> Result<(), fleet::Error> {
         let done = self.child.kill().and_then(|()| self.child.wait());
         done.map(drop).map_err(|e| fleet::Error::Process(self.name.clone(), e))
     }
 
-    /// Its exit status once it has ended.
-    pub fn ended(&mut self) -> Result<Option<process::ExitStatus>, fleet::Error> {
+    /// Its exit status; `None` while it runs.
+    pub fn exit_status(&mut self) -> Result<Option<process::ExitStatus>, fleet::Error> {
         self.child.try_wait().map_err(|e| fleet::Error::Process(self.name.clone(), e))
     }
 
-    /// An error with the end of its output when it has ended.
-    pub fn running(&mut self) -> Result<(), fleet::Error> {
-        match self.ended()? {
+    /// Fails with the last part of its output if it has exited.
+    pub fn check_running(&mut self) -> Result<(), fleet::Error> {
+        match self.exit_status()? {
             None => Ok(()),
             Some(status) => {
                 let what = format!("{status}: {}", self.tail());
@@ -79,22 +79,22 @@
         }
     }
 
-    /// The end of its output.
+    /// The last part of its output.
     pub fn tail(&self) -> String {
         let bytes = fs::read(&self.output).unwrap_or_default();
-        let from = bytes.len().saturating_sub(TAIL);
+        let from = bytes.len().saturating_sub(TAIL_BYTES);
         String::from_utf8_lossy(&bytes[from..]).into_owned()
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        let _ended = self.kill();
+        let _exited = self.kill();
     }
 }
 
-/// Has the kernel kill the child when the thread that starts it ends without a drop, such as when
-/// its process is killed. Fleets are therefore started from a thread that outlives them.
+/// Makes the kernel kill the child when the thread that started it ends, because nothing is dropped
+/// when this process is killed. A fleet must therefore be started by a thread that outlives it.
 fn end_with_parent(command: &mut process::Command) {
     let before = || {
         // SAFETY: prctl with these two integers only changes an attribute of the calling process.
--- a/src/bench/fleet/publish.rs
+++ b/src/bench/fleet/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing through the real program.
+//! Publishes a configuration by running `dandelionspool publish`.
 
 use std::net;
 use std::path;
@@ -8,19 +8,19 @@
 
 use crate::bench::fleet;
 
-/// What `dandelionspool publish` said.
+/// Exit code and output of `dandelionspool publish`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Published {
-    /// Exit code; -1 when a signal ended it.
+    /// Exit code; -1 if a signal terminated it.
     pub code: i32,
-    /// What it printed to standard output.
+    /// Standard output.
     pub stdout: String,
-    /// What it printed to standard error.
+    /// Standard error.
     pub stderr: String,
 }
 
 impl Published {
-    /// The first number in `version` of what it printed as JSON.
+    /// The field `version` of the JSON on standard output.
     pub fn version(&self) -> Option<u64> {
         let value: serde_json::Value = serde_json::from_str(&self.stdout).ok()?;
         value.get("version")?.as_u64()
--- a/src/bench/fleet/run.rs
+++ b/src/bench/fleet/run.rs
@@ -1,4 +1,4 @@
-//! A running fleet.
+//! A running fleet: start, requests to its processes, and waits for their states.
 
 use std::env;
 use std::fs;
@@ -21,19 +21,19 @@
 
 /// Port of the log stand-in.
 const LOG_PORT: u16 = 7000;
-/// Port where the fault proxy takes control.
+/// Control port of the fault proxy.
 const FAULT_PORT: u16 = 7001;
-/// Numbers of the platform's addresses: the log, the log behind the proxy, the proxy.
+/// Indices for `Network::platform`: the log, the address of the log at the fault proxy, the proxy.
 const LOG: u8 = 0;
 const PROXIED_LOG: u8 = 1;
 const FAULTS: u8 = 2;
-/// Longest one request to a process of the fleet may take.
-const LIMIT: time::Duration = time::Duration::from_secs(5);
-/// Time between two looks at a state that is waited for.
-pub(super) const LOOK: time::Duration = time::Duration::from_millis(20);
+/// Time limit of one request to a process of the fleet.
+const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(5);
+/// Time between two checks of a state that is waited for.
+pub(super) const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
-/// Fleets started by this process, for the names of their directories.
-static FLEETS: atomic::AtomicU32 = atomic::AtomicU32::new(0);
+/// Number of fleets started by this process, for the names of their directories.
+static FLEET_COUNT: atomic::AtomicU32 = atomic::AtomicU32::new(0);
 
 /// A running fleet. Dropping it kills its processes and removes its directory.
 #[derive(Debug)]
@@ -47,8 +47,8 @@
 }
 
 impl Fleet {
-    /// Starts what `plan` says and waits until the log answers and every node is ready. A
-    /// configuration file of the plan is published in between.
+    /// Starts the processes of `plan` and waits until the log responds and every node is ready. If
+    /// the plan has a configuration, it is published before the nodes start.
     pub async fn start(plan: plan::Plan) -> Result<Self, fleet::Error> {
         let count = plan.process_count();
         if count > fleet::MAX_PROCESSES {
@@ -76,7 +76,7 @@
 
     fn prepare(plan: plan::Plan) -> Result<Self, fleet::Error> {
         let network = network::Network::claim()?;
-        let number = FLEETS.fetch_add(1, atomic::Ordering::Relaxed);
+        let number = FLEET_COUNT.fetch_add(1, atomic::Ordering::Relaxed);
         let dir = env::temp_dir().join(format!("dandelionspool-{}-{number}", os::id()));
         fs::create_dir_all(&dir).map_err(|e| fleet::Error::File(dir.clone(), e))?;
         let hosts = layout::hosts(&plan, &network);
@@ -98,13 +98,13 @@
         net::SocketAddr::new(self.network.platform(LOG), LOG_PORT)
     }
 
-    /// Address by which nodes know the log: that of the fault proxy when there is one.
+    /// Address by which nodes know the log: that of the fault proxy if there is one.
     pub fn known_log_addr(&self) -> net::SocketAddr {
         let index = if self.plan.faults { PROXIED_LOG } else { LOG };
         net::SocketAddr::new(self.network.platform(index), LOG_PORT)
     }
 
-    /// Address where the fault proxy takes control.
+    /// Address of the control port of the fault proxy.
     pub fn fault_addr(&self) -> net::SocketAddr {
         net::SocketAddr::new(self.network.platform(FAULTS), FAULT_PORT)
     }
@@ -114,12 +114,12 @@
         self.post(self.fault_addr(), "/rules", &serde_json::to_value(rules)?).await
     }
 
-    /// What the fault proxy has counted, see `standin::fault`.
+    /// Counters of the fault proxy, see `standin::fault`.
     pub async fn fault_counts(&self) -> Result<serde_json::Value, fleet::Error> {
         self.get(self.fault_addr(), "/counts").await
     }
 
-    /// Sets the faults of the log stand-in, see `standin::log`; `{}` takes them back.
+    /// Sets the faults of the log stand-in, see `standin::log`; `{}` ends them.
     pub async fn log_faults(&self, faults: &serde_json::Value) -> Result<(), fleet::Error> {
         self.post(self.log_addr(), "/faults", faults).await
     }
@@ -133,12 +133,12 @@
         self.post(self.host(index)?.control_addr(), "/control", change).await
     }
 
-    /// What the upstream of host `index` ran.
+    /// The record of the calls that the upstream of host `index` ran.
     pub async fn record(&self, index: usize) -> Result<record::Record, fleet::Error> {
         self.get(self.host(index)?.control_addr(), "/runs").await
     }
 
-    /// What the node of host `index` says of itself and the mesh.
+    /// Status of the node of host `index`.
     pub async fn status(&self, index: usize) -> Result<serde_json::Value, fleet::Error> {
         self.get(self.host(index)?.bound.admin_addr(), "/status").await
     }
@@ -153,7 +153,7 @@
         publish::publish(&self.plan.programs.node, self.log_addr(), file, base, more).await
     }
 
-    /// Kills the log stand-in; what it kept is lost with it.
+    /// Kills the log stand-in, which loses its records.
     pub fn kill_log(&mut self) {
         self.log = None;
     }
@@ -178,7 +178,7 @@
         Ok(())
     }
 
-    /// Adds a host without an upstream and starts its node; gives its index.
+    /// Adds a host without an upstream, starts its node and returns its index.
     pub fn add_host(&mut self) -> Result<usize, fleet::Error> {
         let count = self.plan.process_count() + 1;
         if count > fleet::MAX_PROCESSES {
@@ -186,7 +186,7 @@
         }
         self.plan.plain += 1;
         let index = self.hosts.len();
-        let mut host = layout::place(&self.plan, &self.network, index);
+        let mut host = layout::new_host(&self.plan, &self.network, index);
         // The proxy's list of hosts is fixed at its start.
         host.bound = host.id;
         self.hosts.push(host);
@@ -194,7 +194,7 @@
         Ok(index)
     }
 
-    /// Waits until every node that runs is ready; an error when one has ended by itself.
+    /// Waits until every node that runs is ready; fails if one has exited.
     pub async fn wait_ready(&mut self, limit: time::Duration) -> Result<(), fleet::Error> {
         let until = tokio::time::Instant::now() + limit;
         for index in 0..self.hosts.len() {
@@ -211,8 +211,8 @@
         loop {
             let host = &mut self.hosts[index];
             let Some(node) = &mut host.node else { return Ok(()) };
-            node.running()?;
-            let answer = http::get(host.bound.admin_addr(), "/ready", LIMIT).await;
+            node.check_running()?;
+            let answer = http::get(host.bound.admin_addr(), "/ready", REQUEST_TIMEOUT).await;
             if answer.is_ok_and(|answer| answer.status().is_success()) {
                 return Ok(());
             }
@@ -220,11 +220,11 @@
                 let what = format!("node of host {index} is not ready: {}", node.tail());
                 return Err(fleet::Error::Late(what));
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until log stand-in or fault proxy takes connections at `address`.
+    /// Waits until the log stand-in or fault proxy accepts connections at `address`.
     pub async fn wait_listening(
         &mut self,
         address: net::SocketAddr,
@@ -233,12 +233,12 @@
         let until = tokio::time::Instant::now() + limit;
         while tokio::net::TcpStream::connect(address).await.is_err() {
             for process in self.log.iter_mut().chain(&mut self.faults) {
-                process.running()?;
+                process.check_running()?;
             }
             if tokio::time::Instant::now() > until {
-                return Err(fleet::Error::Late(format!("nobody answers at {address}")));
+                return Err(fleet::Error::Late(format!("nothing listens at {address}")));
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -288,7 +288,7 @@
         path: &str,
         body: &serde_json::Value,
     ) -> Result<(), fleet::Error> {
-        let answer = http::json(to, ::http::Method::POST, path, body, LIMIT).await?;
+        let answer = http::json(to, ::http::Method::POST, path, body, REQUEST_TIMEOUT).await?;
         if answer.status().is_success() {
             return Ok(());
         }
@@ -300,7 +300,7 @@
         from: net::SocketAddr,
         path: &str,
     ) -> Result<T, fleet::Error> {
-        let answer = http::get(from, path, LIMIT).await?;
+        let answer = http::get(from, path, REQUEST_TIMEOUT).await?;
         if !answer.status().is_success() {
             return Err(fleet::Error::Status(from, answer.status()));
         }
--- a/src/bench/fleet/signals.rs
+++ b/src/bench/fleet/signals.rs
@@ -1,4 +1,4 @@
-//! Signals to the processes of a fleet, and what they use.
+//! Signals to the processes of a fleet, their exits and their use of resources.
 
 use std::time;
 
@@ -24,12 +24,12 @@
         self.signal(index, part, libc::SIGCONT)
     }
 
-    /// Asks a process to end as planned (SIGTERM).
+    /// Asks a process to exit gracefully (SIGTERM).
     pub fn terminate(&mut self, index: usize, part: fleet::Part) -> Result<(), fleet::Error> {
         self.signal(index, part, libc::SIGTERM)
     }
 
-    /// Waits until a process that was asked to end has ended, and gives its exit code.
+    /// Waits until a process has exited and returns its exit code; `None` if a signal ended it.
     pub async fn wait_exit(
         &mut self,
         index: usize,
@@ -40,24 +40,24 @@
         loop {
             let slot = self.slot(index, part)?;
             let process = slot.as_mut().ok_or(fleet::Error::NoProcess(index))?;
-            if let Some(status) = process.ended()? {
+            if let Some(status) = process.exit_status()? {
                 *slot = None;
                 return Ok(status.code());
             }
             if tokio::time::Instant::now() > until {
-                return Err(fleet::Error::Late(format!("end of host {index}: {part:?}")));
+                return Err(fleet::Error::Late(format!("exit of host {index}: {part:?}")));
             }
-            tokio::time::sleep(run::LOOK).await;
+            tokio::time::sleep(run::POLL_INTERVAL).await;
         }
     }
 
-    /// Whether a process has ended by itself, or was asked to.
+    /// Whether a process has exited, other than by [`run::Fleet::kill`].
     pub fn has_exited(&mut self, index: usize, part: fleet::Part) -> Result<bool, fleet::Error> {
         let process = self.slot(index, part)?.as_mut().ok_or(fleet::Error::NoProcess(index))?;
-        Ok(process.ended()?.is_some())
+        Ok(process.exit_status()?.is_some())
     }
 
-    /// Starts a process that was killed or has ended anew.
+    /// Starts a process again that was killed or has exited.
     pub fn restart(&mut self, index: usize, part: fleet::Part) -> Result<(), fleet::Error> {
         match part {
             fleet::Part::Node => self.start_node(index),
@@ -76,7 +76,7 @@
         stat::Stat::read(pid).map_err(|e| fleet::Error::Process(format!("process {pid}"), e))
     }
 
-    /// The end of what a process printed so far.
+    /// The last part of a process's output so far.
     pub fn tail(&mut self, index: usize, part: fleet::Part) -> Result<String, fleet::Error> {
         let process = self.slot(index, part)?.as_ref();
         process.map(process::Process::tail).ok_or(fleet::Error::NoProcess(index))
--- a/src/bench/load/arrivals.rs
+++ b/src/bench/load/arrivals.rs
@@ -1,4 +1,4 @@
-//! When calls start: a seeded Poisson process for each flow, merged in time.
+//! Start times of the calls: a seeded Poisson process for each flow, merged in order of time.
 
 use std::time;
 
@@ -19,10 +19,10 @@
     pub number: u64,
 }
 
-/// All arrivals of one thread in the order of time.
+/// The arrivals of one thread in order of time.
 #[derive(Debug)]
 pub struct Arrivals {
-    /// Next arrival of each flow in seconds, with the flow's rate.
+    /// For each flow the time of its next arrival in seconds, and its rate per second.
     next: Vec<(f64, f64)>,
     end: f64,
     number: u64,
@@ -30,7 +30,7 @@
 }
 
 impl Arrivals {
-    /// Arrivals of one of the plan's threads.
+    /// The arrivals of the thread with the index `thread`.
     pub fn new(plan: &plan::Plan, thread: usize) -> Self {
         let mut rng = SmallRng::seed_from_u64(plan.seed.wrapping_add(thread as u64));
         let share = plan.threads.max(1) as f64;
@@ -57,7 +57,7 @@
     }
 }
 
-/// Time to the next of the arrivals that come at `rate` a second, in seconds.
+/// Random time until the next arrival, in seconds, at `rate` arrivals per second.
 fn gap(rng: &mut SmallRng, rate: f64) -> f64 {
     if rate <= 0.0 {
         return f64::INFINITY;
--- a/src/bench/load/call.rs
+++ b/src/bench/load/call.rs
@@ -1,4 +1,4 @@
-//! One call of a caller: its tries, what it was told and whether that was whole.
+//! One try of a call: request, response, and the outcome for the caller.
 
 use std::net;
 use std::time;
@@ -13,86 +13,86 @@
 use crate::proxy::headers;
 use crate::standin::upstream::answer;
 
-/// The client waits this much longer than its deadline before it gives up.
-const MARGIN: time::Duration = time::Duration::from_secs(1);
+/// How much longer than the deadline the client waits, so that a late response is still seen.
+const TIMEOUT_MARGIN: time::Duration = time::Duration::from_secs(1);
 
-/// How a try ended for its caller.
+/// The outcome of a try, as its caller sees it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It ran, and its whole answer came.
+    /// It ran, and its complete response arrived.
     Served,
-    /// It ran by the header, with another status than 2xx.
+    /// It ran according to the header, with a status other than 2xx.
     Failed,
-    /// It did not run, by the header.
+    /// It did not run, according to the header.
     NotRun,
-    /// It may have run, by the header.
+    /// It may have run, according to the header.
     Unknown,
-    /// An answer taken as whole is cut short, or another call's. Must never be.
+    /// A response without an error is truncated or belongs to another call, which is a bug.
     Wrong,
-    /// An answer without an outcome header.
+    /// The response has no outcome header.
     Unnamed,
-    /// No connection; nothing was sent.
+    /// The connection can't be opened; nothing was sent.
     Connect,
-    /// The connection broke before the whole answer.
+    /// The connection broke before the response was complete.
     Broken,
-    /// No whole answer until after the deadline.
+    /// No complete response arrived until a second after the deadline.
     Silent,
 }
 
-/// What a caller was told about one try.
+/// The result of one try for its caller.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TryResult {
     /// Request id of the try.
     pub id: SmolStr,
-    /// Idempotency key.
+    /// Idempotency key; `None` if the call has none.
     pub key: Option<SmolStr>,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: Outcome,
-    /// Status; 0 without an answer.
+    /// HTTP status; 0 without a response.
     pub status: u16,
-    /// Reason of a refusal or failure, by its header.
+    /// Reason of a refusal or failure from the header; of a broken connection, the error.
     pub reason: SmolStr,
-    /// Time from the call's intended start, or the try's start if it is a later one, to its end.
+    /// Time to the end of the try from its start; of a first try, from the call's intended start.
     pub latency: time::Duration,
-    /// Target it went to.
+    /// Index of the target it was sent to.
     pub target: usize,
 }
 
-/// A try to make.
+/// A try that is about to be made.
 pub struct Try<'a> {
     /// The flow it belongs to.
     pub flow: &'a plan::Flow,
     /// Request id, for a keyed call `KEY.NUMBER`.
     pub id: SmolStr,
-    /// Idempotency key.
+    /// Idempotency key; `None` if the call has none.
     pub key: Option<SmolStr>,
-    /// Target it goes to.
+    /// Index of the target it is sent to.
     pub target: usize,
-    /// From when on latency counts.
+    /// Start of the latency.
     pub since: time::Instant,
 }
 
 impl Try<'_> {
-    /// Sends it and says what the caller was told.
+    /// Sends it and waits for its result.
     pub async fn make(self, client: &client::Client) -> TryResult {
-        let limit = time::Duration::from_millis(self.flow.deadline_ms) + MARGIN;
+        let limit = time::Duration::from_millis(self.flow.deadline_ms) + TIMEOUT_MARGIN;
         let body = body(&self.id, self.flow.body);
         let Ok(request) = self.request(client.address(self.target), body.clone()) else {
-            return self.told(Outcome::Connect, 0, SmolStr::default());
+            return self.result(Outcome::Connect, 0, SmolStr::default());
         };
         match tokio::time::timeout(limit, client.send(self.target, request)).await {
-            Err(_) => self.told(Outcome::Silent, 0, SmolStr::default()),
+            Err(_) => self.result(Outcome::Silent, 0, SmolStr::default()),
             Ok(Err(client::Error::Connect(_))) => {
-                self.told(Outcome::Connect, 0, SmolStr::default())
+                self.result(Outcome::Connect, 0, SmolStr::default())
             }
             Ok(Err(client::Error::Broken(error))) => {
-                self.told(Outcome::Broken, 0, format_smolstr!("{error}"))
+                self.result(Outcome::Broken, 0, format_smolstr!("{error}"))
             }
             Ok(Ok(answer)) => {
                 let outcome = self.outcome(&answer, &body);
                 let reason = text(&answer, headers::REASON);
-                self.told(outcome, answer.status().as_u16(), reason)
+                self.result(outcome, answer.status().as_u16(), reason)
             }
         }
     }
@@ -114,22 +114,24 @@
         request.body(Full::new(body))
     }
 
-    /// What `answer` to a request with the body `sent` tells the caller.
+    /// The outcome by `answer`, the response to a request with the body `sent`.
     pub fn outcome(&self, answer: &http::Response<Bytes>, sent: &[u8]) -> Outcome {
         match text(answer, headers::OUTCOME).as_str() {
             headers::RAN if !answer.status().is_success() => Outcome::Failed,
-            headers::RAN if self.whole(answer.body(), sent) => Outcome::Served,
+            headers::RAN if self.is_complete(answer.body(), sent) => Outcome::Served,
             headers::RAN => Outcome::Wrong,
             headers::NOT_RUN => Outcome::NotRun,
             headers::UNKNOWN => Outcome::Unknown,
-            // An upstream that is called without a node names no outcome.
-            _ if answer.status().is_success() && self.whole(answer.body(), sent) => Outcome::Served,
+            // An upstream that is called directly sends no outcome header.
+            _ if answer.status().is_success() && self.is_complete(answer.body(), sent) => {
+                Outcome::Served
+            }
             _ => Outcome::Unnamed,
         }
     }
 
-    /// Whether `body` answers this try, or an earlier one with the same key.
-    fn whole(&self, body: &[u8], sent: &[u8]) -> bool {
+    /// Whether `body` is the complete response to this try, or to another one with the same key.
+    fn is_complete(&self, body: &[u8], sent: &[u8]) -> bool {
         match (answer::check(body, &self.id, sent), &self.key) {
             (Ok(_), _) => true,
             (Err(answer::Fault::WrongRequest(id)), Some(key)) => {
@@ -140,7 +142,7 @@
         }
     }
 
-    fn told(&self, outcome: Outcome, status: u16, reason: SmolStr) -> TryResult {
+    fn result(&self, outcome: Outcome, status: u16, reason: SmolStr) -> TryResult {
         TryResult {
             id: self.id.clone(),
             key: self.key.clone(),
@@ -153,8 +155,8 @@
     }
 }
 
-/// Whether a caller tries again after `outcome`.
-pub fn again(outcome: Outcome, keyed: bool) -> bool {
+/// Whether a caller retries after `outcome`.
+pub fn retries(outcome: Outcome, keyed: bool) -> bool {
     match outcome {
         Outcome::Served | Outcome::Failed | Outcome::Wrong => false,
         Outcome::NotRun | Outcome::Connect => true,
@@ -162,7 +164,8 @@
     }
 }
 
-/// A body that depends on the call's id, or its key, only: a repeat sends the same bytes.
+/// The request body, which depends on the part of `id` that all tries of a call share, so that a
+/// retry sends the same bytes.
 fn body(id: &str, length: usize) -> Bytes {
     let call = id.rsplit_once('.').map_or(id, |(call, _)| call);
     let seed = blake3::hash(call.as_bytes());
--- a/src/bench/load/client.rs
+++ b/src/bench/load/client.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 connections to the targets, kept and used again.
+//! An HTTP/1.1 client that reuses its connections to the targets.
 
 use std::net;
 use std::sync::{Mutex, PoisonError};
@@ -9,23 +9,23 @@
 use hyper_util::rt;
 use tokio::net::TcpStream;
 
-/// A request as the generator sends it.
+/// A request with a complete body.
 pub type Request = http::Request<Full<Bytes>>;
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// Why there is no whole answer.
+/// Why a request got no complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No connection; nothing was sent.
+    /// The connection can't be opened; nothing was sent.
     #[error("no connection: {0}")]
     Connect(#[from] std::io::Error),
-    /// The connection broke before the whole answer.
+    /// The connection broke before the response was complete.
     #[error("the connection broke: {0}")]
     Broken(#[from] hyper::Error),
 }
 
-/// Idle connections of each target.
+/// The targets with their idle connections.
 #[derive(Debug)]
 pub struct Client {
     targets: Vec<(net::SocketAddr, Mutex<Vec<Sender>>)>,
@@ -42,8 +42,8 @@
         self.targets[to].0
     }
 
-    /// Sends `request` to the target number `to` and returns the whole answer. A request that an
-    /// idle connection gave back unsent goes on a new one.
+    /// Sends `request` to the target number `to` and returns the complete response. If an idle
+    /// connection was closed before it sent the request, the next one is used, or a new one.
     pub async fn send(
         &self,
         to: usize,
--- a/src/bench/load/drive.rs
+++ b/src/bench/load/drive.rs
@@ -1,4 +1,4 @@
-//! Runs a plan.
+//! Runs a plan: starts each call when it is due and counts the results.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -27,7 +27,7 @@
     /// A thread or runtime can't be started.
     #[error("can't start a thread: {0}")]
     Thread(#[from] std::io::Error),
-    /// A thread panicked.
+    /// A thread of the load panicked.
     #[error("a thread of the load ended early")]
     Ended,
     /// A histogram can't be made.
@@ -35,7 +35,7 @@
     Histogram(#[from] hdrhistogram::CreationError),
 }
 
-/// Runs `plan` in its own threads and waits for its end.
+/// Runs `plan` in threads of its own and waits until they are done.
 pub fn run_blocking(plan: &plan::Plan) -> Result<tally::Tally, Error> {
     plan.check()?;
     let mut all = tally::Tally::new(plan)?;
@@ -69,8 +69,8 @@
     })
 }
 
-/// Sends each arrival when it is due. A thread of its own sleeps more finely than the runtime's
-/// timer, whose ticks of a millisecond would count as latency.
+/// Sends each arrival when it is due. This runs in a thread of its own, whose sleep is more precise
+/// than the runtime's timer: ticks of a millisecond would count as latency.
 fn pace(
     arrivals: arrivals::Arrivals,
     origin: time::Instant,
@@ -84,7 +84,7 @@
     }
 }
 
-/// What the calls of one thread share.
+/// State that the calls of one thread share.
 struct Shared {
     plan: plan::Plan,
     thread: usize,
@@ -116,21 +116,26 @@
             continue;
         }
         let counted = arrival.at >= warmup;
-        calls.spawn_local(one(Rc::clone(&shared), arrival, origin + arrival.at, counted));
+        calls.spawn_local(run_call(Rc::clone(&shared), arrival, origin + arrival.at, counted));
     }
     while calls.join_next().await.is_some() {}
     let tally = shared.tally.borrow().clone();
     Ok(tally)
 }
 
-/// One call of a caller, perhaps sent twice at the same time.
-async fn one(shared: Rc<Shared>, arrival: arrivals::Arrival, since: time::Instant, counted: bool) {
+/// Makes one call, which the flow may ask to send twice at the same time.
+async fn run_call(
+    shared: Rc<Shared>,
+    arrival: arrivals::Arrival,
+    since: time::Instant,
+    counted: bool,
+) {
     let flow = &shared.plan.flows[arrival.flow];
     let key = shared.key(flow, arrival.number);
     let twice = flow.keyed && shared.chance(flow.twice);
-    let first = tries(&shared, flow, &key, 1, since);
+    let first = run_tries(&shared, flow, &key, 1, since);
     let ended = if twice {
-        let second = tries(&shared, flow, &key, flow.tries + 1, since);
+        let second = run_tries(&shared, flow, &key, flow.tries + 1, since);
         let (first, second) = tokio::join!(first, second);
         vec![first, second]
     } else {
@@ -140,20 +145,21 @@
         return;
     }
     let mut tally = shared.tally.borrow_mut();
-    for (told, latency) in ended {
-        tally.call(arrival.flow, told, latency);
+    for (results, latency) in ended {
+        tally.call(arrival.flow, results, latency);
     }
 }
 
-/// The tries of a call, numbered from `number` on, until one is final, and the time they took.
-async fn tries(
+/// Makes the tries of a call, numbered from `number`, until one is final. Returns their results and
+/// the time since `since`.
+async fn run_tries(
     shared: &Shared,
     flow: &plan::Flow,
     key: &SmolStr,
     number: u32,
     since: time::Instant,
 ) -> (Vec<call::TryResult>, time::Duration) {
-    let mut told = Vec::new();
+    let mut results = Vec::new();
     for turn in 0..flow.tries.max(1) {
         if turn > 0 {
             tokio::time::sleep(time::Duration::from_millis(flow.pause_ms)).await;
@@ -166,17 +172,17 @@
             since: if turn == 0 { since } else { time::Instant::now() },
         };
         let last = attempt.make(&shared.client).await;
-        let again = call::again(last.outcome, flow.keyed);
-        told.push(last);
+        let again = call::retries(last.outcome, flow.keyed);
+        results.push(last);
         if !again {
             break;
         }
     }
-    (told, since.elapsed())
+    (results, since.elapsed())
 }
 
 impl Shared {
-    /// Name of a call that no other has, also across plans with other seeds and flows.
+    /// A name for the call that is unique, also across plans with other seeds and flows.
     fn key(&self, flow: &plan::Flow, number: u64) -> SmolStr {
         format_smolstr!("{}-{:x}-{}-{number}", flow.name, self.plan.seed, self.thread)
     }
--- a/src/bench/load/mod.rs
+++ b/src/bench/load/mod.rs
@@ -1,7 +1,7 @@
-//! `dandelionspool-bench load` sends calls at given rates, open loop, and checks their answers.
+//! `dandelionspool-bench load` sends calls at given rates (open loop) and checks the responses.
 //!
-//! Calls start when their schedule says, however slow the answers are, and latency counts from
-//! the intended start, so that a stalled mesh can't hide behind calls that were never sent.
+//! Calls start by their schedule, however slow the responses are, and latency counts from the
+//! intended start. Otherwise a stalled mesh would delay the calls that would show the stall.
 
 use std::fs;
 use std::path;
--- a/src/bench/load/plan.rs
+++ b/src/bench/load/plan.rs
@@ -1,4 +1,4 @@
-//! What load is sent, and where.
+//! The plan of a load: the flows of calls and their targets.
 
 use std::net;
 use std::time;
@@ -6,12 +6,12 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Most calls a plan may send.
-const MOST_CALLS: f64 = 5_000_000.0;
-/// Longest a plan may run, in seconds.
-const MOST_SECONDS: f64 = 600.0;
+/// Maximum number of calls of a plan.
+const MAX_CALLS: f64 = 5_000_000.0;
+/// Maximum duration of a plan.
+const MAX_SECONDS: f64 = 600.0;
 
-/// Calls of one kind at a steady rate.
+/// Calls of one kind at a constant mean rate.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Flow {
@@ -23,9 +23,9 @@
     pub host: SmolStr,
     /// Path and query.
     pub path: SmolStr,
-    /// Calls a second, spread as a Poisson process.
+    /// Mean number of calls per second, which start as a Poisson process.
     pub rate: f64,
-    /// Worth of one call served whole.
+    /// Weight of a served call in the goodput.
     pub weight: u32,
     /// Length of the request's body, in bytes.
     pub body: usize,
@@ -33,10 +33,10 @@
     pub keyed: bool,
     /// Share of keyed calls that are sent twice at the same time, 0 to 1.
     pub twice: f64,
-    /// Tries of a call with the same key, the first included; without a key only proven
-    /// "not run" is tried again.
+    /// Maximum number of tries of a call, including the first. A call without a key is only retried
+    /// if it has certainly not run.
     pub tries: u32,
-    /// Pause before another try, in milliseconds.
+    /// Pause before a retry, in milliseconds.
     pub pause_ms: u64,
     /// Deadline of each try, in milliseconds; the client gives up a second later.
     pub deadline_ms: u64,
@@ -62,7 +62,7 @@
 }
 
 impl Flow {
-    /// `rate` calls a second of `method` to `path`.
+    /// `rate` calls per second of `method` to `path`.
     pub fn new(name: &str, method: &str, path: &str, rate: f64) -> Self {
         let (name, method) = (SmolStr::new(name), SmolStr::new(method));
         Self { name, method, path: SmolStr::new(path), rate, ..Self::default() }
@@ -74,7 +74,7 @@
         self
     }
 
-    /// Worth of one call served whole.
+    /// Weight of a served call in the goodput.
     pub fn weight(mut self, weight: u32) -> Self {
         self.weight = weight;
         self
@@ -93,7 +93,7 @@
         self
     }
 
-    /// Tries of a call, the first included, and the pause between them in milliseconds.
+    /// Maximum number of tries of a call, and the pause before a retry in milliseconds.
     pub fn tries(mut self, tries: u32, pause_ms: u64) -> Self {
         self.tries = tries;
         self.pause_ms = pause_ms;
@@ -111,22 +111,22 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Plan {
-    /// Addresses that take calls; each try goes to one of them by chance.
+    /// Addresses to which calls are sent; each try goes to a random one.
     pub targets: Vec<net::SocketAddr>,
-    /// What is sent.
+    /// The calls to send.
     pub flows: Vec<Flow>,
     /// Time over which calls start, in seconds.
     pub seconds: f64,
-    /// Time from the start on that is not counted, in seconds.
+    /// Time at the start whose calls are not counted, in seconds.
     pub warmup: f64,
-    /// Seed of all chance.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Most calls in flight in each thread; those beyond are counted as dropped.
+    /// Maximum number of calls in flight in each thread; further ones are counted as dropped.
     #[serde(rename = "most")]
     pub max_in_flight: usize,
-    /// Threads that share the rates.
+    /// Number of threads, each of which has an equal share of the rates.
     pub threads: usize,
-    /// Whether what callers were told is kept, call by call.
+    /// Whether the result of every try is kept.
     pub keep: bool,
 }
 
@@ -151,16 +151,16 @@
     /// There is no target.
     #[error("the plan has no target")]
     Targets,
-    /// It runs too long, or its length is no length.
-    #[error("`seconds` must be above 0 and at most {MOST_SECONDS}")]
+    /// Its duration is too long, not positive, or not a number.
+    #[error("`seconds` must be above 0 and at most {MAX_SECONDS}")]
     Seconds,
-    /// It sends too many calls.
-    #[error("rates and seconds must give at most {MOST_CALLS} calls")]
+    /// It sends too many calls, or a rate is not a number.
+    #[error("rates and seconds must give at most {MAX_CALLS} calls")]
     Calls,
-    /// It has no thread.
+    /// It has no thread, or too many.
     #[error("`threads` must be 1 to 64")]
     Threads,
-    /// A method is not valid.
+    /// The method, path or host of a flow is not valid.
     #[error("a flow's method, path or host is not valid")]
     Request,
 }
@@ -183,51 +183,51 @@
         self
     }
 
-    /// Time from the start on that is not counted, in seconds.
+    /// Time at the start whose calls are not counted, in seconds.
     pub fn warmup(mut self, seconds: f64) -> Self {
         self.warmup = seconds;
         self
     }
 
-    /// Seed of all chance.
+    /// Seed of all random numbers.
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Most calls in flight in each thread.
-    pub fn max_in_flight(mut self, most: usize) -> Self {
-        self.max_in_flight = most;
+    /// Maximum number of calls in flight in each thread.
+    pub fn max_in_flight(mut self, max: usize) -> Self {
+        self.max_in_flight = max;
         self
     }
 
-    /// Threads that share the rates.
+    /// Number of threads, each of which has an equal share of the rates.
     pub fn threads(mut self, threads: usize) -> Self {
         self.threads = threads;
         self
     }
 
-    /// Keeps what callers were told, call by call.
+    /// Keeps the result of every try.
     pub fn keep(mut self) -> Self {
         self.keep = true;
         self
     }
 
-    /// Time that is counted.
+    /// Time whose calls are counted.
     pub fn duration(&self) -> time::Duration {
         time::Duration::try_from_secs_f64(self.seconds - self.warmup).unwrap_or_default()
     }
 
-    /// Checks that the plan can be run and is bounded.
+    /// Checks that the plan can be run and is within the limits.
     pub fn check(&self) -> Result<(), PlanError> {
         if self.targets.is_empty() {
             return Err(PlanError::Targets);
         }
-        if !(self.seconds > 0.0 && self.seconds <= MOST_SECONDS) {
+        if !(self.seconds > 0.0 && self.seconds <= MAX_SECONDS) {
             return Err(PlanError::Seconds);
         }
         let rate: f64 = self.flows.iter().map(|f| f.rate).sum();
-        if !(rate >= 0.0 && rate * self.seconds <= MOST_CALLS) {
+        if !(rate >= 0.0 && rate * self.seconds <= MAX_CALLS) {
             return Err(PlanError::Calls);
         }
         if !(1..=64).contains(&self.threads) {
--- a/src/bench/load/tally.rs
+++ b/src/bench/load/tally.rs
@@ -1,4 +1,4 @@
-//! Counts and latencies of calls by flow.
+//! Counts and latencies of the calls of each flow.
 
 use std::collections;
 use std::fmt::Write as _;
@@ -11,19 +11,19 @@
 use crate::bench::load::call;
 use crate::bench::load::plan;
 
-/// Largest latency told apart, in microseconds.
-const HIGHEST: u64 = 120_000_000;
-/// Significant digits of latencies.
-const DIGITS: u8 = 3;
+/// Largest latency that is recorded; larger ones count as this.
+const MAX_LATENCY_US: u64 = 120_000_000;
+/// Precision of the recorded latencies.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Counts of one flow.
 #[derive(Clone, Debug)]
 pub struct Count {
     /// Name of the flow.
     pub name: SmolStr,
-    /// Worth of one call served whole.
+    /// Weight of a served call in the goodput.
     pub weight: u32,
-    /// Calls whose start fell due.
+    /// Calls whose start time was reached.
     pub due: u64,
     /// Calls not sent because too many were in flight.
     pub dropped: u64,
@@ -49,8 +49,8 @@
             tries: 0,
             outcomes: collections::BTreeMap::new(),
             reasons: collections::BTreeMap::new(),
-            served: Histogram::new_with_bounds(1, HIGHEST, DIGITS)?,
-            refused: Histogram::new_with_bounds(1, HIGHEST, DIGITS)?,
+            served: Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)?,
+            refused: Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)?,
         })
     }
 
@@ -79,7 +79,7 @@
 pub struct Tally {
     /// In the order of the plan's flows.
     pub counts: Vec<Count>,
-    /// What callers were told, if the plan keeps it.
+    /// The results of all tries, if the plan keeps them.
     pub results: Vec<call::TryResult>,
     keep: bool,
 }
@@ -91,7 +91,7 @@
         Ok(Self { counts, results: Vec::new(), keep: plan.keep })
     }
 
-    /// Counts a call that was due and not sent.
+    /// Counts a call that was due but not sent.
     pub(super) fn dropped(&mut self, flow: usize) {
         self.counts[flow].due += 1;
         self.counts[flow].dropped += 1;
@@ -107,10 +107,10 @@
         let count = &mut self.counts[flow];
         count.due += 1;
         count.tries += tries.len() as u64;
-        for told in tries.iter().filter(|t| t.outcome != call::Outcome::Served) {
-            *count.reasons.entry(told.reason.clone()).or_default() += 1;
-            if told.outcome == call::Outcome::NotRun {
-                count.refused.saturating_record(micros(told.latency));
+        for result in tries.iter().filter(|t| t.outcome != call::Outcome::Served) {
+            *count.reasons.entry(result.reason.clone()).or_default() += 1;
+            if result.outcome == call::Outcome::NotRun {
+                count.refused.saturating_record(micros(result.latency));
             }
         }
         if let Some(last) = tries.last() {
@@ -143,7 +143,7 @@
         self.counts.iter().map(|count| count.of(outcome)).sum()
     }
 
-    /// Calls served whole by their weight.
+    /// The sum of the weights of the served calls.
     pub fn weighted(&self) -> u64 {
         let served = self.counts.iter();
         served.map(|c| c.of(call::Outcome::Served) * u64::from(c.weight)).sum()
--- a/src/bench/load/tests.rs
+++ b/src/bench/load/tests.rs
@@ -15,7 +15,7 @@
 use crate::standin::upstream;
 use crate::standin::upstream::faults;
 
-fn nowhere() -> Vec<net::SocketAddr> {
+fn closed_port() -> Vec<net::SocketAddr> {
     vec![net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 1))]
 }
 
@@ -36,8 +36,8 @@
 }
 
 #[test]
-fn arrivals_are_the_same_for_the_same_seed_and_as_many_as_the_rate_says() {
-    let plan = load::Plan::new(nowhere()).flow(orders(1000.0)).flow(orders(10.0)).seconds(20.0);
+fn arrivals_depend_on_the_seed_only_and_match_the_rate() {
+    let plan = load::Plan::new(closed_port()).flow(orders(1000.0)).flow(orders(10.0)).seconds(20.0);
     let all: Vec<_> = arrivals::Arrivals::new(&plan, 0).collect();
     assert_eq!(all, arrivals::Arrivals::new(&plan, 0).collect::<Vec<_>>());
     assert_ne!(all, arrivals::Arrivals::new(&plan, 1).collect::<Vec<_>>());
@@ -48,20 +48,20 @@
 
 #[rstest]
 #[case::no_target(load::Plan::default().flow(orders(1.0)), plan::PlanError::Targets)]
-#[case::too_long(load::Plan::new(nowhere()).seconds(1e6), plan::PlanError::Seconds)]
-#[case::too_many(load::Plan::new(nowhere()).flow(orders(1e9)), plan::PlanError::Calls)]
-#[case::no_number(load::Plan::new(nowhere()).flow(orders(f64::NAN)), plan::PlanError::Calls)]
-#[case::no_thread(load::Plan::new(nowhere()).threads(0), plan::PlanError::Threads)]
+#[case::too_long(load::Plan::new(closed_port()).seconds(1e6), plan::PlanError::Seconds)]
+#[case::too_many(load::Plan::new(closed_port()).flow(orders(1e9)), plan::PlanError::Calls)]
+#[case::no_number(load::Plan::new(closed_port()).flow(orders(f64::NAN)), plan::PlanError::Calls)]
+#[case::no_thread(load::Plan::new(closed_port()).threads(0), plan::PlanError::Threads)]
 #[case::no_path(
-    load::Plan::new(nowhere()).flow(load::Flow::new("x", "GET", "no path", 1.0)),
+    load::Plan::new(closed_port()).flow(load::Flow::new("x", "GET", "no path", 1.0)),
     plan::PlanError::Request
 )]
-fn a_plan_that_can_not_run_is_refused(#[case] plan: load::Plan, #[case] error: plan::PlanError) {
+fn an_invalid_plan_is_refused(#[case] plan: load::Plan, #[case] error: plan::PlanError) {
     assert_eq!(plan.check(), Err(error));
 }
 
-/// A whole answer to the request `id` with the body `request`.
-fn whole(id: &str, request: &[u8]) -> Vec<u8> {
+/// The complete response body for the request `id` with the body `request`.
+fn complete_body(id: &str, request: &[u8]) -> Vec<u8> {
     let request = blake3::hash(request).to_hex().to_string();
     let head = serde_json::json!({ "id": id, "request": request, "bytes": 0 });
     let mut body = format!("{head}\n").into_bytes();
@@ -71,17 +71,17 @@
 }
 
 #[rstest]
-#[case::whole(headers::RAN, 200, whole("k.1", b"sent"), load::Outcome::Served)]
-#[case::first_of_the_key(headers::RAN, 200, whole("k.2", b"sent"), load::Outcome::Served)]
-#[case::other_key(headers::RAN, 200, whole("q.1", b"sent"), load::Outcome::Wrong)]
-#[case::other_body(headers::RAN, 200, whole("k.1", b"else"), load::Outcome::Wrong)]
-#[case::cut(headers::RAN, 200, whole("k.1", b"sent")[..90].to_vec(), load::Outcome::Wrong)]
+#[case::complete(headers::RAN, 200, complete_body("k.1", b"sent"), load::Outcome::Served)]
+#[case::first_of_the_key(headers::RAN, 200, complete_body("k.2", b"sent"), load::Outcome::Served)]
+#[case::other_key(headers::RAN, 200, complete_body("q.1", b"sent"), load::Outcome::Wrong)]
+#[case::other_body(headers::RAN, 200, complete_body("k.1", b"else"), load::Outcome::Wrong)]
+#[case::cut(headers::RAN, 200, complete_body("k.1", b"sent")[..90].to_vec(), load::Outcome::Wrong)]
 #[case::failed(headers::RAN, 500, b"sorry".to_vec(), load::Outcome::Failed)]
 #[case::refused(headers::NOT_RUN, 503, Vec::new(), load::Outcome::NotRun)]
 #[case::unknown(headers::UNKNOWN, 502, Vec::new(), load::Outcome::Unknown)]
 #[case::unnamed("", 502, Vec::new(), load::Outcome::Unnamed)]
-#[case::direct("", 200, whole("k.1", b"sent"), load::Outcome::Served)]
-fn an_outcome_is_what_header_and_body_prove(
+#[case::direct("", 200, complete_body("k.1", b"sent"), load::Outcome::Served)]
+fn the_outcome_follows_from_header_and_body(
     #[case] header: &str,
     #[case] status: u16,
     #[case] body: Vec<u8>,
@@ -104,7 +104,7 @@
 }
 
 #[tokio::test]
-async fn what_callers_are_told_agrees_with_the_record() {
+async fn the_results_of_callers_agree_with_the_record_of_the_upstream() {
     let upstream = start(options().mean(time::Duration::from_millis(1))).await;
     let plan = load::Plan::new(vec![upstream.address()])
         .flow(orders(300.0))
@@ -122,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn a_cut_answer_is_never_served() {
+async fn a_response_broken_off_never_counts_as_served() {
     let upstream = start(options()).await;
     upstream.control(&faults::Change { cut: Some(1.0), ..Default::default() });
     let flow = load::Flow::new("page", "GET", "/page?bytes=20000", 100.0);
@@ -132,13 +132,13 @@
 }
 
 #[tokio::test]
-async fn tries_end_with_the_plan_and_calls_beyond_the_bound_are_dropped() {
+async fn tries_are_limited_and_calls_beyond_the_limit_in_flight_are_dropped() {
     let flow = load::Flow::new("page", "GET", "/", 200.0).tries(3, 1);
-    let plan = load::Plan::new(nowhere()).flow(flow.clone()).seconds(0.5);
+    let plan = load::Plan::new(closed_port()).flow(flow.clone()).seconds(0.5);
     let tally = load::drive(plan).await.unwrap();
     assert_eq!(tally.of(load::Outcome::Connect), tally.counts[0].due);
     assert_eq!(tally.counts[0].tries, 3 * tally.counts[0].due);
-    let none = load::Plan::new(nowhere()).flow(flow).seconds(0.5).max_in_flight(0);
+    let none = load::Plan::new(closed_port()).flow(flow).seconds(0.5).max_in_flight(0);
     let tally = load::drive(none).await.unwrap();
     assert_eq!(tally.counts[0].dropped, tally.counts[0].due);
 }
