--- a/src/admin/announce.rs
+++ b/src/admin/announce.rs
@@ -143,13 +143,13 @@
 
 impl Fault {
     /// Whether the announcement is kept because a later configuration may make it usable.
-    pub const fn pending(self) -> bool {
+    pub const fn is_pending(self) -> bool {
         matches!(self, Fault::Class | Fault::Service)
     }
 
     /// Whether the sender has nothing to correct, so that it is answered with success.
     pub const fn needs_no_correction(self) -> bool {
-        self.pending() || matches!(self, Fault::Foreign | Fault::Stale)
+        self.is_pending() || matches!(self, Fault::Foreign | Fault::Stale)
     }
 }
 
@@ -219,7 +219,7 @@
     ///
     /// # Errors
     ///
-    /// Returns why it is not usable under `mesh`; it is kept if [`Fault::pending`].
+    /// Returns why it is not usable under `mesh`; it is kept if [`Fault::is_pending`].
     pub fn announce(
         &mut self,
         instance: &SmolStr,
--- a/src/admin/calls.rs
+++ b/src/admin/calls.rs
@@ -75,11 +75,11 @@
                 counter.encode(metric.encode_family(&labels)?)?;
             }
         }
-        latencies(&mut encoder, &rows)
+        encode_latencies(&mut encoder, &rows)
     }
 }
 
-fn latencies(
+fn encode_latencies(
     encoder: &mut encoding::DescriptorEncoder<'_>,
     rows: &[(Row, usage::Totals)],
 ) -> Result<(), fmt::Error> {
@@ -88,7 +88,7 @@
     let mut metric = encoder.encode_descriptor("call_seconds", help, None, kind)?;
     for (label, totals) in rows {
         let labels = [("service", label.service.as_str()), ("kind", label.kind.as_str())];
-        let buckets: Vec<(f64, u64)> = bounds().zip(totals.latencies).collect();
+        let buckets: Vec<(f64, u64)> = bucket_bounds().zip(totals.latencies).collect();
         let sum = std::time::Duration::from_micros(totals.micros).as_secs_f64();
         let count = totals.of(usage::Outcome::Served);
         metric
@@ -99,7 +99,7 @@
 }
 
 /// Upper bounds of the latency buckets, in seconds.
-fn bounds() -> impl Iterator<Item = f64> {
+fn bucket_bounds() -> impl Iterator<Item = f64> {
     let finite = (0..tally::BUCKETS - 1).scan(tally::FIRST_BOUND.as_secs_f64(), |bound, _| {
         let this = *bound;
         *bound *= 2.0;
--- a/src/admin/mesh_status.rs
+++ b/src/admin/mesh_status.rs
@@ -15,11 +15,13 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Coverage {
     /// Nodes that answered.
-    pub heard: u32,
+    #[serde(rename = "heard")]
+    pub answered: u32,
     /// Nodes known to the node that creates the report, including itself.
     pub hosts: u32,
     /// Whether all of them answered. An incomplete report covers only those that did.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub complete: bool,
     /// Hosts that did not answer, at most [`MAX_NAMED_HOSTS`].
     pub missing: Vec<SmolStr>,
 }
@@ -31,7 +33,7 @@
         let whole = missing.is_empty();
         missing.truncate(MAX_NAMED_HOSTS);
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-        Self { heard: count(answered), hosts: count(hosts), whole, missing }
+        Self { answered: count(answered), hosts: count(hosts), complete: whole, missing }
     }
 }
 
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -74,7 +74,7 @@
     let mesh_wide = request.uri().query() == Some("mesh=1");
     let path = request.uri().path();
     if let Some(instance) = path.strip_prefix(INSTANCES).map(SmolStr::new) {
-        return upstream(state, peer, &instance, request).await;
+        return handle_upstream(state, peer, &instance, request).await;
     }
     match (request.method(), path) {
         (&http::Method::GET, "/live") => reply::empty(),
@@ -85,7 +85,7 @@
         (&http::Method::GET, "/burn") if mesh_wide => mesh_burn(state).await,
         (&http::Method::GET, "/burn") => reply::json(http::StatusCode::OK, &state.burn()),
         (&http::Method::PUT | &http::Method::DELETE, "/upstream") => {
-            upstream(state, peer, &SmolStr::default(), request).await
+            handle_upstream(state, peer, &SmolStr::default(), request).await
         }
         (_, "/burn" | "/live" | "/ready" | "/metrics" | "/status" | "/upstream") => {
             reply::refuse(Refusal::Method)
@@ -118,7 +118,7 @@
     }
 }
 
-async fn upstream(
+async fn handle_upstream(
     state: &state::State,
     peer: net::IpAddr,
     instance: &SmolStr,
@@ -131,7 +131,7 @@
         return reply::refuse(Refusal::Peer);
     }
     let withdraws = request.method() == http::Method::DELETE;
-    let Some(body) = read(request.into_body()).await else {
+    let Some(body) = read_body(request.into_body()).await else {
         return reply::refuse(Refusal::Body);
     };
     if withdraws {
@@ -139,7 +139,7 @@
     }
     let announcement = match serde_json::from_slice::<announce::Announcement>(&body) {
         Ok(announcement) => announcement,
-        Err(error) => return unreadable(instance, &error),
+        Err(error) => return refuse_body(instance, &error),
     };
     match state.announce(instance, announcement) {
         Ok(()) => reply::empty(),
@@ -167,17 +167,17 @@
             state.withdraw(instance, withdrawal);
             reply::empty()
         }
-        Err(error) => unreadable(instance, &error),
+        Err(error) => refuse_body(instance, &error),
     }
 }
 
 /// Refuses a body that can't be parsed; the current announcement stays in force.
-fn unreadable(instance: &SmolStr, error: &serde_json::Error) -> Reply {
+fn refuse_body(instance: &SmolStr, error: &serde_json::Error) -> Reply {
     log::warn!(instance:% = instance, error:% = error; "cannot parse the body sent by an upstream");
     reply::refuse(Refusal::Body)
 }
 
-async fn read(body: body::Incoming) -> Option<Bytes> {
+async fn read_body(body: body::Incoming) -> Option<Bytes> {
     let collected = Limited::new(body, MAX_BODY_BYTES).collect().await.ok()?;
     Some(collected.to_bytes())
 }
--- a/src/admin/shell.rs
+++ b/src/admin/shell.rs
@@ -84,7 +84,7 @@
         view: wiring.view,
         trial: wiring.trial,
         local: wiring.local,
-        reach: wiring.reach,
+        reachability: wiring.reach,
         metrics: wiring.metrics,
         stage: stage.clone(),
         traffic: wiring.traffic,
@@ -92,17 +92,17 @@
             address.ip(),
             time::Duration::from_millis(settings.admin.lease_ms),
         )),
-        book: RefCell::new(book::Book::new(ctx.clock.unix_millis())),
+        counts: RefCell::new(book::Book::new(ctx.clock.unix_millis())),
         applied_unix_ms: Cell::new(None),
-        reports: Semaphore::new(state::MAX_REPORTS),
+        report_permits: Semaphore::new(state::MAX_REPORTS),
     });
     let connections = usize::from(settings.admin.connections);
-    let mut tasks = vec![task::spawn_local(follow(Rc::clone(&state)))];
+    let mut tasks = vec![task::spawn_local(publish_changes(Rc::clone(&state)))];
     for listener in listeners {
         let accept = server::accept(listener, Rc::clone(&state), connections);
         tasks.push(task::spawn_local(accept));
     }
-    let mut counting = task::spawn_local(count(Rc::clone(&state), tallies, calls, usage));
+    let mut counting = task::spawn_local(forward_counts(Rc::clone(&state), tallies, calls, usage));
     // A dropped sender also means that the process ends.
     let _ = stage.wait_for(|&stage| stage == node::Stage::End).await;
     // The call path ends at the same time and sends its last counts.
@@ -113,7 +113,7 @@
 }
 
 /// Publishes the local upstream on each change of the configuration and after each lease check.
-async fn follow(state: Rc<state::State>) {
+async fn publish_changes(state: Rc<state::State>) {
     let mut applied = state.applied.clone();
     applied.mark_changed();
     let mut tick = tokio::time::interval(LEASE_CHECK_INTERVAL);
@@ -134,7 +134,7 @@
 }
 
 /// Receives counts from the call path and forwards them to the ledger, until the call path ends.
-async fn count(
+async fn forward_counts(
     state: Rc<state::State>,
     mut tallies: ring::Receiver<usage::Delta>,
     calls: calls::Calls,
@@ -142,7 +142,7 @@
 ) {
     while let Some(delta) = tallies.recv().await {
         calls.add(&delta);
-        state.book.borrow_mut().add(&delta, state.ctx.clock.unix_millis());
+        state.counts.borrow_mut().add(&delta, state.ctx.clock.unix_millis());
         // While the ledger is behind, counts wait in the ring from the call path and in its
         // tally.
         if ledger.send(delta).await.is_err() {
--- a/src/admin/state.rs
+++ b/src/admin/state.rs
@@ -35,15 +35,15 @@
     pub(super) view: watch::Receiver<Arc<view::View>>,
     pub(super) trial: watch::Receiver<rollout::TrialReport>,
     pub(super) local: watch::Sender<Option<Arc<node::LocalUpstream>>>,
-    pub(super) reach: watch::Receiver<reachability::Reachability>,
+    pub(super) reachability: watch::Receiver<reachability::Reachability>,
     pub(super) metrics: metrics::Metrics,
     pub(super) stage: watch::Receiver<node::Stage>,
     pub(super) traffic: Arc<traffic::Traffic>,
     pub(super) announcements: RefCell<announce::Registry>,
-    pub(super) book: RefCell<book::Book>,
+    pub(super) counts: RefCell<book::Book>,
     /// When this duty received the applied configuration, in milliseconds since the Unix epoch.
     pub(super) applied_unix_ms: Cell<Option<u64>>,
-    pub(super) reports: Semaphore,
+    pub(super) report_permits: Semaphore,
 }
 
 /// The conditions under which the node may take calls.
@@ -137,7 +137,7 @@
             applied_unix_ms: self.applied_unix_ms.get(),
             view: &view,
             local: local.as_deref(),
-            log: *self.reach.borrow(),
+            log: *self.reachability.borrow(),
             ready: self.readiness().ready(),
             traffic: &self.traffic,
         };
@@ -146,7 +146,7 @@
 
     /// Returns the status of the mesh; `None` if too many such reports are being created.
     pub async fn mesh_status(&self) -> Option<mesh_status::MeshStatus> {
-        let _permit = self.reports.try_acquire().ok()?;
+        let _permit = self.report_permits.try_acquire().ok()?;
         let mut gathered = self.gather::<status::Status>("/status").await;
         gathered.answers.push(self.status());
         let missing = gathered.missing.iter().map(|h| smol_str::format_smolstr!("{h}"));
@@ -157,12 +157,12 @@
     /// Returns this node's counts for the objectives of its configuration.
     pub fn burn(&self) -> book::Page {
         let mesh = Arc::clone(&self.applied.borrow().mesh);
-        self.book.borrow().page(&mesh, self.ctx.clock.unix_millis())
+        self.counts.borrow().page(&mesh, self.ctx.clock.unix_millis())
     }
 
     /// Returns the report on service levels; `None` if too many such reports are being created.
     pub async fn mesh_burn(&self) -> Option<report::Report> {
-        let _permit = self.reports.try_acquire().ok()?;
+        let _permit = self.report_permits.try_acquire().ok()?;
         let mut gathered = self.gather::<book::Page>("/burn").await;
         gathered.answers.insert(0, self.burn());
         let missing = gathered.missing.iter().map(|h| smol_str::format_smolstr!("{h}"));
--- a/src/admin/tests/announce.rs
+++ b/src/admin/tests/announce.rs
@@ -96,7 +96,7 @@
     let mut registry = registry();
     let early = registry.announce(&instance(""), announcement(), at(0), &mesh::Mesh::default());
     assert_eq!(early, Err(Fault::Service));
-    assert!(early.is_err_and(Fault::pending));
+    assert!(early.is_err_and(Fault::is_pending));
     assert!(registry.local(&shop()).is_some());
 }
 
--- a/src/admin/tests/report.rs
+++ b/src/admin/tests/report.rs
@@ -36,7 +36,7 @@
 fn versions_are_counted_by_zone_and_nodes_behind_are_listed() {
     let answers = [answer(1, "a", 7, 1500), answer(2, "a", 5, 900), answer(3, "b", 7, 1400)];
     let mesh = mesh_status::combine(&answers, Vec::new(), 2000);
-    assert!(mesh.coverage.whole);
+    assert!(mesh.coverage.complete);
     assert_eq!((mesh.newest, mesh.newest_unix_ms, mesh.behind), (7, Some(1400), 1));
     assert_eq!(mesh.behind_hosts[0].host, "10.0.0.2:7100");
     assert_eq!(mesh.behind_hosts[0].behind_ms, 600);
@@ -48,7 +48,10 @@
 fn a_partial_report_lists_the_missing_hosts() {
     let answers = [answer(1, "a", 7, 1500)];
     let mesh = mesh_status::combine(&answers, vec!["10.0.0.2:7100".into()], 2000);
-    assert_eq!((mesh.coverage.heard, mesh.coverage.hosts, mesh.coverage.whole), (1, 2, false));
+    assert_eq!(
+        (mesh.coverage.answered, mesh.coverage.hosts, mesh.coverage.complete),
+        (1, 2, false)
+    );
     assert_eq!(mesh.coverage.missing, ["10.0.0.2:7100"]);
 }
 
--- a/src/admin/tests/served.rs
+++ b/src/admin/tests/served.rs
@@ -203,7 +203,10 @@
         let to = one.host.admin_addr();
         let mesh: mesh_status::MeshStatus =
             query::json(to, "/status?mesh=1", TIMEOUT).await.expect("a report");
-        assert_eq!((mesh.coverage.heard, mesh.coverage.hosts, mesh.coverage.whole), (2, 3, false));
+        assert_eq!(
+            (mesh.coverage.answered, mesh.coverage.hosts, mesh.coverage.complete),
+            (2, 3, false)
+        );
         assert_eq!(mesh.coverage.missing, [absent.to_string()]);
         assert_eq!((mesh.newest, mesh.behind, mesh.unready), (3, 1, 1));
     })
--- a/src/burn/plot.rs
+++ b/src/burn/plot.rs
@@ -63,9 +63,11 @@
 
 fn head(area: &Area<'_>, report: &report::Report) -> Result<(), Error> {
     let coverage = &report.coverage;
-    let partial = if coverage.whole { "" } else { "PARTIAL: " };
-    let title =
-        format!("{partial}burn rates, heard from {} of {} nodes", coverage.heard, coverage.hosts);
+    let partial = if coverage.complete { "" } else { "PARTIAL: " };
+    let title = format!(
+        "{partial}burn rates, heard from {} of {} nodes",
+        coverage.answered, coverage.hosts
+    );
     area.draw(&Text::new(title, (12, 12), ("sans-serif", 20).into_font()))?;
     for (place, (name, colour)) in (0..).zip(burn::NAMES.iter().zip(COLOURS)) {
         let left = 12 + place * 90;
--- a/src/burn/tests.rs
+++ b/src/burn/tests.rs
@@ -128,8 +128,8 @@
     assert_eq!(report.lines.len(), 4);
     assert_eq!(report.lines[0].service, "shop");
     assert_eq!(report.since_unix_ms, 5000);
-    assert_eq!((report.coverage.heard, report.coverage.hosts), (2, 3));
-    assert!(!report.coverage.whole);
+    assert_eq!((report.coverage.answered, report.coverage.hosts), (2, 3));
+    assert!(!report.coverage.complete);
     let svg = plot::svg(&report).expect("drawn");
     assert!(svg.starts_with("<svg") && svg.contains("PARTIAL") && svg.contains("2 of 3 nodes"));
 }
--- a/src/cli/ask.rs
+++ b/src/cli/ask.rs
@@ -20,7 +20,7 @@
 /// # Errors
 ///
 /// Fails when `work` fails or the runtime can't be created.
-pub fn run<T>(
+pub fn block_on<T>(
     work: impl future::Future<Output = Result<T, exit::Failure>>,
 ) -> Result<T, exit::Failure> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -33,11 +33,11 @@
 /// # Errors
 ///
 /// Fails when the node can't be reached or refuses the request.
-pub fn node<T: serde::de::DeserializeOwned>(
+pub fn fetch_report<T: serde::de::DeserializeOwned>(
     node: net::SocketAddr,
     path: &str,
 ) -> Result<T, exit::Failure> {
-    run(async {
+    block_on(async {
         query::json(node, path, REPORT_TIMEOUT).await.map_err(|error| match error {
             query::Error::Status(..) => exit::Failure::Refused(error.into()),
             error => exit::Failure::Unreachable(error.into()),
@@ -66,20 +66,20 @@
 }
 
 /// Formats the coverage of a report as one line.
-pub fn coverage(coverage: &mesh_status::Coverage) -> String {
-    let answered = format!("heard from {} of {} nodes", coverage.heard, coverage.hosts);
-    if coverage.whole {
+pub fn format_coverage(coverage: &mesh_status::Coverage) -> String {
+    let answered = format!("heard from {} of {} nodes", coverage.answered, coverage.hosts);
+    if coverage.complete {
         return format!("{answered}\n");
     }
     let missing = coverage.missing.iter().take(5).map(|h| h.as_str()).collect::<Vec<_>>();
-    let more = if coverage.hosts - coverage.heard > 5 { ", ..." } else { "" };
+    let more = if coverage.hosts - coverage.answered > 5 { ", ..." } else { "" };
     format!("PARTIAL: {answered}; no answer from {}{more}\n", missing.join(", "))
 }
 
 /// Formats a time in UTC, with a precision of one second.
-pub fn moment(unix_ms: u64) -> String {
+pub fn format_time(unix_ms: u64) -> String {
     let seconds = unix_ms / 1000;
-    let (year, month, day) = civil(seconds / DAY_S);
+    let (year, month, day) = civil_date(seconds / DAY_S);
     let of_day = seconds % DAY_S;
     let (hour, minute, second) = (of_day / 3600, of_day / 60 % 60, of_day % 60);
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}Z")
@@ -89,7 +89,7 @@
 ///
 /// Years are counted from 1 March of year 0, so that a leap day is the last day of its year, in
 /// cycles of 400 years.
-fn civil(days: u64) -> (u64, u64, u64) {
+fn civil_date(days: u64) -> (u64, u64, u64) {
     let days = days + 719_468;
     let (cycle, day) = (days / 146_097, days % 146_097);
     let year = (day - day / 1460 + day / 36_524 - day / 146_096) / 365;
--- a/src/cli/follow.rs
+++ b/src/cli/follow.rs
@@ -41,7 +41,8 @@
     /// Known nodes.
     pub hosts: u32,
     /// Nodes that answered; the others are not counted in `running`.
-    pub heard: u32,
+    #[serde(rename = "heard")]
+    pub answered: u32,
 }
 
 impl Progress {
@@ -52,7 +53,7 @@
             version: version.number(),
             running: rows.map(|row| row.nodes).sum(),
             hosts: mesh.coverage.hosts,
-            heard: mesh.coverage.heard,
+            answered: mesh.coverage.answered,
         }
     }
 
@@ -75,7 +76,7 @@
     let end = time::Instant::now() + limit;
     let display = ProgressDisplay::new();
     loop {
-        let progress = Progress::new(version, &ask::node(node, "/status?mesh=1")?);
+        let progress = Progress::new(version, &ask::fetch_report(node, "/status?mesh=1")?);
         display.show(&progress);
         if progress.done() {
             return Ok(());
--- a/src/cli/publish.rs
+++ b/src/cli/publish.rs
@@ -77,7 +77,7 @@
     #[error("{file} is not valid:\n{faults}")]
     Invalid { file: path::PathBuf, faults: mesh::fault::Faults },
     /// Another file was published in the meantime, or the base never was the current version.
-    #[error("conflict: the current version is {current}, and the file was made from {base}")]
+    #[error("conflict: the current version is {current}, but the file is based on {base}")]
     Conflict { base: u64, current: version::Version },
     /// The validation rules of the nodes differ from those of this build.
     #[error("the file was refused by the rules of its format when it was first published")]
--- a/src/cli/report.rs
+++ b/src/cli/report.rs
@@ -61,7 +61,8 @@
 #[derive(Clone, Debug, Serialize)]
 struct Usage {
     /// Whether the log still retains the stream from its first record on.
-    whole: bool,
+    #[serde(rename = "whole")]
+    complete: bool,
     /// Time of the oldest retained record, in milliseconds since the Unix epoch.
     oldest_unix_ms: Option<u64>,
     /// Duplicate totals, which were not counted again.
@@ -85,7 +86,7 @@
 }
 
 fn burn(args: &BurnArgs) -> Result<(), exit::Failure> {
-    let report: report::Report = ask::node(args.node, "/burn?mesh=1")?;
+    let report: report::Report = ask::fetch_report(args.node, "/burn?mesh=1")?;
     if let Some(file) = &args.plot {
         let svg = plot::svg(&report).map_err(|error| exit::Failure::Input(error.into()))?;
         let written = fs::write(file, svg);
@@ -95,8 +96,8 @@
 }
 
 fn burn_text(report: &report::Report) -> String {
-    let mut text = ask::coverage(&report.coverage);
-    text += &format!("all of them count since {}\n\n", ask::moment(report.since_unix_ms));
+    let mut text = ask::format_coverage(&report.coverage);
+    text += &format!("all of them count since {}\n\n", ask::format_time(report.since_unix_ms));
     let names = burn::NAMES.map(|name| format!("{name:>8}")).concat();
     text += &format!(
         "{:<6} {:<24} {:<13} {:>8} {names} {:>8} {:>10}\n",
@@ -126,7 +127,7 @@
     let settings = configs::log::Log { address: args.log, ..configs::log::Log::default() };
     let log = logs::http::Client::new(&settings, Arc::default());
     let period_ms = u64::from(args.hours) * HOUR_MS;
-    let report = ask::run(async {
+    let report = ask::block_on(async {
         let read = read(&log, sum::Sum::new(period_ms)).await;
         read.map_err(|error| exit::Failure::Unreachable(error.into()))
     })?;
@@ -148,7 +149,7 @@
         batch.records.iter().for_each(|record| sum.add(record));
     }
     Ok(Usage {
-        whole: first == Some(0),
+        complete: first == Some(0),
         oldest_unix_ms,
         repeats: sum.repeats(),
         unread: sum.unreadable(),
@@ -158,8 +159,8 @@
 
 fn usage_text(usage: &Usage) -> String {
     let mut text = String::new();
-    if let (false, Some(oldest)) = (usage.whole, usage.oldest_unix_ms) {
-        let oldest = ask::moment(oldest);
+    if let (false, Some(oldest)) = (usage.complete, usage.oldest_unix_ms) {
+        let oldest = ask::format_time(oldest);
         text += &format!("PARTIAL: the log keeps records from {oldest} on\n");
     }
     if usage.unread > 0 {
@@ -172,7 +173,7 @@
     for charge in &usage.charges {
         text += &format!(
             "{:<21} {:<18} {:<18} {:<14} {:>6} {:>12} {:>14}\n",
-            ask::moment(charge.since_unix_ms),
+            ask::format_time(charge.since_unix_ms),
             charge.organisation,
             charge.service,
             charge.kind,
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -23,13 +23,13 @@
 ///
 /// Fails when the node can't be reached or refuses the request.
 pub fn run(args: &Args) -> Result<(), exit::Failure> {
-    let mesh: mesh_status::MeshStatus = ask::node(args.node, "/status?mesh=1")?;
+    let mesh: mesh_status::MeshStatus = ask::fetch_report(args.node, "/status?mesh=1")?;
     ask::print(args.json, &mesh, text)
 }
 
 fn text(mesh: &mesh_status::MeshStatus) -> String {
-    let mut text = ask::coverage(&mesh.coverage);
-    let since = mesh.newest_unix_ms.map(ask::moment).unwrap_or_default();
+    let mut text = ask::format_coverage(&mesh.coverage);
+    let since = mesh.newest_unix_ms.map(ask::format_time).unwrap_or_default();
     text += &format!("newest version {} ({}), first run {since}\n", mesh.newest, mesh.digest);
     text += &format!("{} nodes behind, {} not ready\n", mesh.behind, mesh.unready);
     text += &log(&mesh.log);
@@ -58,7 +58,7 @@
         log.answers, log.fails, log.unasked
     );
     match log.fails_since_unix_ms {
-        Some(since) => format!("log: failing since {}; {counts}\n", ask::moment(since)),
+        Some(since) => format!("log: failing since {}; {counts}\n", ask::format_time(since)),
         None => format!("log: {counts}\n"),
     }
 }
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -43,7 +43,7 @@
     }
     let text = path(&logs);
     if text.is_empty() {
-        return Err(exit::Failure::Refused(eyre::eyre!("no log knows the call {}", args.id)));
+        return Err(exit::Failure::Refused(eyre::eyre!("no log contains the call {}", args.id)));
     }
     print!("{text}");
     Ok(())
--- a/src/configs/limits.rs
+++ b/src/configs/limits.rs
@@ -140,7 +140,7 @@
     }
 
     fn validate(tree: &Value, faults: &mut Vec<fault::Fault>) {
-        inspect(tree, faults);
+        check_numbers(tree, faults);
         check_length(tree, "/mesh", 1, faults);
         check_length(tree, "/key", MIN_KEY_BYTES, faults);
         check_length(tree, "/region", 1, faults);
@@ -153,7 +153,7 @@
 
 /// Adds a fault for each number of the node settings `tree` that is out of range, or too large
 /// beside another one.
-pub fn inspect(tree: &Value, faults: &mut Vec<fault::Fault>) {
+pub fn check_numbers(tree: &Value, faults: &mut Vec<fault::Fault>) {
     NODE.iter().for_each(|limit| check_limit(tree, *limit, faults));
     PROPORTIONS.iter().for_each(|proportion| check_proportion(tree, proportion, faults));
 }
--- a/src/configs/load.rs
+++ b/src/configs/load.rs
@@ -77,27 +77,27 @@
 /// Every fault at once, each with its JSON pointer.
 pub fn read<T: Settings>(body: &[u8]) -> Result<T, fault::Faults> {
     let mut faults = Vec::new();
-    let mut given = parse(body, &mut faults).map_err(single)?;
+    let mut given = parse(body, &mut faults).map_err(single_fault)?;
     let preset = take_preset(&mut given, &mut faults);
-    let mut tree = tree(&T::default())?;
+    let mut tree = to_tree(&T::default())?;
     if let Some(preset) = preset {
         merge(&mut tree, T::nest_preset(preset));
     }
     merge(&mut tree, given.clone());
     let mut invalid = Vec::new();
     T::validate(&tree, &mut invalid);
-    add_unreadable::<T>(&given, &mut invalid);
+    add_parse_faults::<T>(&given, &mut invalid);
     faults.append(&mut invalid);
     if !faults.is_empty() {
         return Err(fault::Faults::new(faults));
     }
-    T::deserialize(tree).map_err(|e| single(unreadable(&e)))
+    T::deserialize(tree).map_err(|e| single_fault(unreadable(&e)))
 }
 
 /// Checks settings that were not read from a file.
 pub fn check<T: Settings>(settings: &T) -> Result<(), fault::Faults> {
     let mut faults = Vec::new();
-    T::validate(&tree(settings)?, &mut faults);
+    T::validate(&to_tree(settings)?, &mut faults);
     if faults.is_empty() { Ok(()) } else { Err(fault::Faults::new(faults)) }
 }
 
@@ -132,7 +132,7 @@
 /// Adds a fault for each value of `given` that can't be deserialised. Tries each value on its own,
 /// with all other settings at their defaults, because serde stops at the first error. Skips
 /// values that already have a fault.
-fn add_unreadable<T: Settings>(given: &Value, faults: &mut Vec<fault::Fault>) {
+fn add_parse_faults<T: Settings>(given: &Value, faults: &mut Vec<fault::Fault>) {
     let known = faults.len();
     let mut leaves = Vec::new();
     split_leaves(given, &mut String::new(), &mut leaves);
@@ -193,10 +193,10 @@
     }
 }
 
-fn tree<T: Serialize>(settings: &T) -> Result<Value, fault::Faults> {
-    serde_json::to_value(settings).map_err(|e| single(unreadable(&e)))
+fn to_tree<T: Serialize>(settings: &T) -> Result<Value, fault::Faults> {
+    serde_json::to_value(settings).map_err(|e| single_fault(unreadable(&e)))
 }
 
-fn single(problem: fault::Problem) -> fault::Faults {
+fn single_fault(problem: fault::Problem) -> fault::Faults {
     fault::Faults::new(vec![fault::Fault::new("", problem)])
 }
--- a/src/configs/local.rs
+++ b/src/configs/local.rs
@@ -1,4 +1,4 @@
-//! Settings of a whole small mesh in one process.
+//! Settings of a small mesh in one process.
 
 use std::collections;
 use std::net;
@@ -23,7 +23,7 @@
 /// Maximum value of a duration of an upstream stand-in.
 const MAX_DURATION_MS: u64 = 600_000;
 
-/// Settings of a whole small mesh in one process, on loopback.
+/// Settings of a small mesh in one process, on loopback.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Local {
@@ -168,7 +168,7 @@
 
     fn validate(tree: &Value, faults: &mut Vec<fault::Fault>) {
         let node_faults = faults.len();
-        limits::inspect(tree.get("node").unwrap_or(&Value::Null), faults);
+        limits::check_numbers(tree.get("node").unwrap_or(&Value::Null), faults);
         for fault in &mut faults[node_faults..] {
             fault.pointer.insert_str(0, "/node");
         }
