--- a/tests/failures/crashes.rs
+++ b/tests/failures/crashes.rs
@@ -1,10 +1,11 @@
-//! Upstreams of one service ended one after the other, 25 in a spell of twenty seconds, and came back some
-//! seconds later only to end again; callers of the service were refused meanwhile. One request ended each
-//! upstream that ran it. Its caller sent it again and our own second attempts carried it on, to a new
-//! upstream each time, since nothing remembered what had run where. The line that a node now writes settled
-//! it: of 51 `the upstream ended while it ran calls` in twelve seconds of this test each has the same
-//! fingerprint among its `prints`, one harmless path stands in 15 and all others in one or two, and `running`
-//! is 1 to 3 of 9 slots, so that it was not load. With that request refused once three have ended, 4 end.
+//! A request that crashes each upstream that runs it: the retries of its caller and the second
+//! attempts of nodes carry it to a new upstream each time, so that without quarantine the upstreams
+//! of a service crash in turn (25 within 20 s) and its callers are refused meanwhile.
+//!
+//! Without quarantine, nodes log 51 crashes in the 12 s of this test. Each has the fingerprint of
+//! this request among its `prints`, one harmless path is in 15 and all others in one or two;
+//! `running` is 1 to 3 of 9 slots, so that load is not the cause. With the request refused after
+//! three crashes, 4 occur.
 
 use std::net;
 use std::time;
@@ -15,61 +16,62 @@
 use dandelionspool::standin::http;
 use http_body_util::Full;
 
-use crate::bed;
+use crate::support;
 
-/// Upstreams of the service, each beside a node.
+/// Number of upstreams of the service, each beside a node.
 const UPSTREAMS: usize = 6;
-/// Path prefix of the requests that end whatever upstream runs them.
-const CRASH: &str = "/browse/crash";
-/// Time from the end of an upstream until it is back.
-const BACK: time::Duration = time::Duration::from_secs(1);
-/// Ends under one request after which it counts as proven.
-const PROOFS: usize = 3;
-/// Time from the last proof until every node has to know.
-const KNOWN: time::Duration = time::Duration::from_secs(3);
-/// Most times that such a request may reach an upstream from then on.
-const REPEATS: usize = 3;
-/// Time between two tries of the request, each at another node.
-const PAUSE: time::Duration = time::Duration::from_millis(100);
-/// Time between two calls of the others.
-const CALLS: time::Duration = time::Duration::from_millis(10);
-const LENGTH: time::Duration = time::Duration::from_secs(12);
+/// Path prefix of the requests that crash any upstream that runs them.
+const CRASH_PATH: &str = "/browse/crash";
+/// Time from the crash of an upstream to its restart.
+const RESTART_DELAY: time::Duration = time::Duration::from_secs(1);
+/// Number of crashes under one request after which it is quarantined.
+const CRASH_THRESHOLD: usize = 3;
+/// Time from the last of these crashes until every node has to refuse the request.
+const QUARANTINE_DELAY: time::Duration = time::Duration::from_secs(3);
+/// Number of times that the request may still reach an upstream from then on.
+const MAX_LATE_RUNS: usize = 3;
+/// Time between two tries of the crashing request, each at another node.
+const CRASH_INTERVAL: time::Duration = time::Duration::from_millis(100);
+/// Time between two other calls.
+const CALL_INTERVAL: time::Duration = time::Duration::from_millis(10);
+/// Time during which calls are sent.
+const LOAD_DURATION: time::Duration = time::Duration::from_secs(12);
 
-/// What a caller was told, and when.
-struct Told {
-    at: time::Instant,
+/// Result that a caller received, and the time at which it sent the call.
+struct CallResult {
+    sent_at: time::Instant,
     outcome: String,
     reason: String,
 }
 
-async fn browse(to: net::SocketAddr, path: &str, id: String) -> Told {
+async fn browse(to: net::SocketAddr, path: &str, id: String) -> CallResult {
     let request = ::http::Request::get(path)
         .header(::http::header::HOST, "shop.example")
         .header(headers::REQUEST_ID, id)
         .header(headers::DEADLINE, "1200")
         .body(Full::new(Bytes::new()))
         .unwrap();
-    let at = time::Instant::now();
-    let answer = http::send(to, request, bed::LIMIT).await.unwrap();
+    let sent_at = time::Instant::now();
+    let answer = http::send(to, request, support::TIMEOUT).await.unwrap();
     let text = |name| answer.headers().get(name).map(|v| v.to_str().unwrap().to_owned());
     let (outcome, reason) = (text(headers::OUTCOME), text(headers::REASON));
-    Told { at, outcome: outcome.unwrap_or_default(), reason: reason.unwrap_or_default() }
+    CallResult { sent_at, outcome: outcome.unwrap_or_default(), reason: reason.unwrap_or_default() }
 }
 
-/// Sends calls to `path` at one node after the other, a new one each `pause`.
+/// Sends a call each `interval`, to each node in turn.
 async fn drive(
     nodes: Vec<net::SocketAddr>,
     name: &'static str,
     path: impl Fn(usize) -> String,
-    pause: time::Duration,
-) -> Vec<Told> {
+    interval: time::Duration,
+) -> Vec<CallResult> {
     let mut calls = tokio::task::JoinSet::new();
-    let end = time::Instant::now() + LENGTH;
+    let end = time::Instant::now() + LOAD_DURATION;
     for number in 0.. {
         let (to, path, id) =
             (nodes[number % nodes.len()], path(number), format!("{name}-{number}"));
         calls.spawn(async move { browse(to, &path, id).await });
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(interval).await;
         if time::Instant::now() > end {
             break;
         }
@@ -77,55 +79,57 @@
     calls.join_all().await
 }
 
-/// Starts upstreams anew a while after they have ended; gives when each ended.
-async fn keep(fleet: &mut fleet::Fleet, until: impl Fn() -> bool) -> Vec<time::Instant> {
-    let (mut ends, mut gone) = (Vec::new(), [None; UPSTREAMS]);
-    while !until() {
+/// Restarts each crashed upstream after a delay, until `done`. Returns the times of the crashes.
+async fn restart_crashed(fleet: &mut fleet::Fleet, done: impl Fn() -> bool) -> Vec<time::Instant> {
+    let (mut crashes, mut down) = (Vec::new(), [None; UPSTREAMS]);
+    while !done() {
         let now = time::Instant::now();
-        for (index, gone) in gone.iter_mut().enumerate() {
-            if gone.is_none() && fleet.has_ended(index, fleet::Part::Upstream).unwrap() {
-                *gone = Some(now);
-                ends.push(now);
+        for (index, down) in down.iter_mut().enumerate() {
+            if down.is_none() && fleet.has_ended(index, fleet::Part::Upstream).unwrap() {
+                *down = Some(now);
+                crashes.push(now);
             }
-            if gone.take_if(|since| now - *since > BACK).is_some() {
+            if down.take_if(|since| now - *since > RESTART_DELAY).is_some() {
                 fleet.restart(index, fleet::Part::Upstream).unwrap();
             }
         }
         tokio::time::sleep(time::Duration::from_millis(10)).await;
     }
-    ends
+    crashes
 }
 
 #[tokio::test]
-async fn a_request_that_ends_its_upstreams_reaches_few_more_once_three_have_ended() {
-    let shop = fleet::Group::new("shop", UPSTREAMS).mean_ms(30.0).crash(CRASH);
-    let (mut fleet, _) = bed::start(fleet::Plan::new(bed::programs()).group(shop)).await;
-    bed::until_serving(&fleet, "shop", UPSTREAMS as u64).await;
+async fn a_request_that_crashes_its_upstreams_reaches_few_more_once_three_have_crashed() {
+    let shop = fleet::Group::new("shop", UPSTREAMS).mean_ms(30.0).crash(CRASH_PATH);
+    let (mut fleet, _) = support::start(fleet::Plan::new(support::programs()).group(shop)).await;
+    support::until_serving(&fleet, "shop", UPSTREAMS as u64).await;
     let nodes: Vec<_> = fleet.hosts().iter().map(|host| host.id.call_addr()).collect();
-    let bad = tokio::spawn(drive(nodes.clone(), "bad", |_| format!("{CRASH}/1"), PAUSE));
+    let bad =
+        tokio::spawn(drive(nodes.clone(), "bad", |_| format!("{CRASH_PATH}/1"), CRASH_INTERVAL));
     let page = |number| format!("/browse/{number}");
-    let good = tokio::spawn(drive(nodes.clone(), "good", page, CALLS));
-    let same = tokio::spawn(drive(nodes, "same", |_| "/browse/popular".into(), 3 * CALLS));
-    let ends = keep(&mut fleet, || bad.is_finished() && good.is_finished()).await;
+    let good = tokio::spawn(drive(nodes.clone(), "good", page, CALL_INTERVAL));
+    let same = tokio::spawn(drive(nodes, "same", |_| "/browse/popular".into(), 3 * CALL_INTERVAL));
+    let crashes = restart_crashed(&mut fleet, || bad.is_finished() && good.is_finished()).await;
     let (bad, good, same) = (bad.await.unwrap(), good.await.unwrap(), same.await.unwrap());
 
-    let proven = ends.get(PROOFS - 1).expect("three upstreams ended");
-    let late = |at: &time::Instant| *at > *proven + KNOWN;
-    let ended = ends.iter().filter(|at| late(at)).count();
-    let reached = bad.iter().filter(|t| late(&t.at) && t.outcome != headers::NOT_RUN).count();
+    let last_proof = crashes.get(CRASH_THRESHOLD - 1).expect("three upstreams crashed");
+    let late = |at: &time::Instant| *at > *last_proof + QUARANTINE_DELAY;
+    let late_crashes = crashes.iter().filter(|at| late(at)).count();
+    let late_runs =
+        bad.iter().filter(|r| late(&r.sent_at) && r.outcome != headers::NOT_RUN).count();
     println!(
-        "{} ends, {ended} late; {} tries, {reached} late at an upstream",
-        ends.len(),
+        "{} crashes, {late_crashes} late; {} tries, {late_runs} late at an upstream",
+        crashes.len(),
         bad.len()
     );
-    assert!(ended <= REPEATS, "{ended} more upstreams ended");
-    assert!(reached <= REPEATS, "it reached upstreams {reached} more times");
-    // Nobody else suffers for it, then or before.
+    assert!(late_crashes <= MAX_LATE_RUNS, "{late_crashes} more upstreams crashed");
+    assert!(late_runs <= MAX_LATE_RUNS, "it reached upstreams {late_runs} more times");
+    // No other call is refused by quarantine, at any time, and nearly all are served afterwards.
     let others: Vec<_> = good.iter().chain(&same).collect();
-    let served = |t: &&&Told| t.outcome == headers::RAN;
-    let after: Vec<_> = others.iter().filter(|t| late(&t.at)).copied().collect();
-    let all = after.iter().filter(|t| served(t)).count();
-    println!("{} of {} other calls served after it", all, after.len());
-    assert!(others.iter().all(|t| t.reason != "quarantined"));
-    assert!(all * 20 >= after.len() * 19, "{all} of {} served", after.len());
+    let served = |r: &&&CallResult| r.outcome == headers::RAN;
+    let after: Vec<_> = others.iter().filter(|r| late(&r.sent_at)).copied().collect();
+    let served_after = after.iter().filter(|r| served(r)).count();
+    println!("{} of {} other calls served after it", served_after, after.len());
+    assert!(others.iter().all(|r| r.reason != "quarantined"));
+    assert!(served_after * 20 >= after.len() * 19, "{served_after} of {} served", after.len());
 }
--- a/tests/failures/main.rs
+++ b/tests/failures/main.rs
@@ -1,8 +1,8 @@
-//! Failures of real processes: what must hold at all times, checked against the upstreams' own
-//! records and the nodes' own words.
+//! Tests of promises that have to hold while real processes fail, checked against the records of
+//! upstreams and the status that nodes report.
 
-mod bed;
 mod calls;
 mod crashes;
 mod mesh;
 mod stops;
+mod support;
--- a/tests/failures/mesh.rs
+++ b/tests/failures/mesh.rs
@@ -1,4 +1,4 @@
-//! Versions while nodes are killed and paused, hosts join and the log is down.
+//! Versions that nodes run while nodes are killed and paused, hosts join and the log is down.
 
 use std::collections;
 use std::time;
@@ -7,23 +7,23 @@
 use dandelionspool::standin::fault::rules;
 use serde_json::json;
 
-use crate::bed;
+use crate::support;
 
 const HOSTS: usize = 12;
 
 fn plan() -> fleet::Plan {
-    fleet::Plan::new(bed::programs()).hosts(HOSTS)
+    fleet::Plan::new(support::programs()).hosts(HOSTS)
 }
 
-/// Highest version each host was seen to run; it never goes down.
+/// Last version that each host reported; a lower one fails the test.
 #[derive(Debug, Default)]
-struct Seen(collections::HashMap<usize, u64>);
+struct Versions(collections::HashMap<usize, u64>);
 
-impl Seen {
-    async fn look(&mut self, fleet: &fleet::Fleet, paused: Option<usize>) {
+impl Versions {
+    async fn check(&mut self, fleet: &fleet::Fleet, paused: Option<usize>) {
         for index in (0..fleet.hosts().len()).filter(|index| Some(*index) != paused) {
-            // 0 is no version: a node that has just started runs none yet.
-            let Some(now) = bed::version(fleet, index).await.filter(|now| *now > 0) else {
+            // 0 means no version: a node that has just started runs none yet.
+            let Some(now) = support::version(fleet, index).await.filter(|now| *now > 0) else {
                 continue;
             };
             let before = self.0.insert(index, now).unwrap_or(0);
@@ -34,7 +34,7 @@
     async fn watch(&mut self, fleet: &fleet::Fleet, paused: Option<usize>, millis: u64) {
         let end = time::Instant::now() + time::Duration::from_millis(millis);
         while time::Instant::now() < end {
-            self.look(fleet, paused).await;
+            self.check(fleet, paused).await;
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
     }
@@ -42,10 +42,10 @@
 
 #[tokio::test]
 async fn versions_never_go_back_while_nodes_are_killed_and_paused_and_datagrams_lost() {
-    let (mut fleet, mut version) = bed::start(plan().faults()).await;
+    let (mut fleet, mut version) = support::start(plan().faults()).await;
     let bad = rules::Faults { jitter_ms: 30, loss: 0.2, twice: 0.1, ..Default::default() };
     fleet.rules(&[rules::Rule { faults: bad, ..Default::default() }]).await.unwrap();
-    let mut seen = Seen::default();
+    let mut versions = Versions::default();
     for turn in 1..=10 {
         let (killed, paused) = (turn % HOSTS, (turn * 5 + 3) % HOSTS);
         fleet.kill(killed, fleet::Part::Node).unwrap();
@@ -53,27 +53,27 @@
             fleet.pause(paused, fleet::Part::Node).unwrap();
         }
         for step in 0..2 {
-            let next = bed::configuration(step == 1, (turn * 2 + step) as u64);
-            version = bed::publish(&fleet, version, &next).await;
+            let next = support::configuration(step == 1, (turn * 2 + step) as u64);
+            version = support::publish(&fleet, version, &next).await;
         }
         fleet.restart(killed, fleet::Part::Node).unwrap();
-        seen.watch(&fleet, Some(paused), 600).await;
+        versions.watch(&fleet, Some(paused), 600).await;
         if paused != killed {
             fleet.resume(paused, fleet::Part::Node).unwrap();
         }
-        seen.watch(&fleet, None, 300).await;
+        versions.watch(&fleet, None, 300).await;
     }
     let hosts: Vec<usize> = (0..HOSTS).collect();
-    bed::until_version(&fleet, &hosts, version).await;
-    seen.look(&fleet, None).await;
+    support::until_version(&fleet, &hosts, version).await;
+    versions.check(&fleet, None).await;
 }
 
 #[tokio::test]
 async fn a_third_restarts_and_a_new_host_joins_while_the_log_is_down() {
-    let (mut fleet, version) = bed::start(plan()).await;
-    let version = bed::publish(&fleet, version, &bed::configuration(true, 1)).await;
+    let (mut fleet, version) = support::start(plan()).await;
+    let version = support::publish(&fleet, version, &support::configuration(true, 1)).await;
     let all: Vec<usize> = (0..HOSTS).collect();
-    bed::until_version(&fleet, &all, version).await;
+    support::until_version(&fleet, &all, version).await;
     fleet.log_faults(&json!({ "outage": "close" })).await.unwrap();
     let third: Vec<usize> = all.iter().copied().filter(|index| index % 3 == 0).collect();
     for index in &third {
@@ -83,10 +83,10 @@
         fleet.restart(*index, fleet::Part::Node).unwrap();
     }
     let added = fleet.add_host().unwrap();
-    fleet.ready(bed::LIMIT).await.unwrap();
+    fleet.ready(support::TIMEOUT).await.unwrap();
     let all: Vec<usize> = (0..=added).collect();
-    bed::until_version(&fleet, &all, version).await;
+    support::until_version(&fleet, &all, version).await;
     fleet.log_faults(&json!({})).await.unwrap();
-    let version = bed::publish(&fleet, version, &bed::configuration(false, 2)).await;
-    bed::until_version(&fleet, &all, version).await;
+    let version = support::publish(&fleet, version, &support::configuration(false, 2)).await;
+    support::until_version(&fleet, &all, version).await;
 }
--- a/tests/failures/bed.rs
+++ b/tests/failures/support.rs
@@ -1,4 +1,4 @@
-//! What the tests of failures share: programs, configurations, records and waiting.
+//! Helpers of the tests of failures: programs, configurations, records and waiting.
 
 use std::collections;
 use std::fs;
@@ -11,8 +11,8 @@
 use serde_json::json;
 use smol_str::SmolStr;
 
-/// Longest anything that must come about may take.
-pub const LIMIT: time::Duration = time::Duration::from_secs(30);
+/// Time after which a test that waits for a condition fails.
+pub const TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
 /// The programs as cargo built them for this test.
 pub fn programs() -> fleet::Programs {
@@ -22,9 +22,9 @@
     }
 }
 
-/// A configuration with the services `shop` and, when `desk`, `desk`, to which `/browse` and
-/// `/orders` then go. `turn` makes it differ from others.
-pub fn configuration(desk: bool, turn: u64) -> serde_json::Value {
+/// A configuration with the service `shop` and, if `desk` is set, also `desk`, to which the routes
+/// then lead. `number` makes it differ from others.
+pub fn configuration(desk: bool, number: u64) -> serde_json::Value {
     let target = if desk { "desk" } else { "shop" };
     let mut names = vec!["shop"];
     if desk {
@@ -32,10 +32,13 @@
     }
     let services: Vec<_> = names.iter().map(|name| service(name)).collect();
     let upstreams: Vec<_> = names.iter().map(|name| class(name)).collect();
-    let route = |name: &str, path: &str, methods: &[&str]| json!({ "name": name, "path": path, "methods": methods, "service": target, "kind": name });
+    let route = |name: &str, path: &str, methods: &[&str]| {
+        json!({ "name": name, "path": path, "methods": methods, "service": target,
+                "kind": name })
+    };
     json!({
         "format": 1,
-        "teams": [{ "name": "sellers" }, { "name": format!("team-{turn}") }],
+        "teams": [{ "name": "sellers" }, { "name": format!("team-{number}") }],
         "services": services,
         "upstreams": upstreams,
         "routes": [route("browse", "/browse", &["GET"]), route("order", "/orders", &["POST"])],
@@ -59,14 +62,14 @@
     json!({ "name": name, "service": name, "slots": 9, "connections": 130, "warmup_ms": 0 })
 }
 
-/// Writes a configuration to a file of its own that outlives the plan.
+/// Writes a configuration to the file `name` in `dir`. Returns its path.
 pub fn write(dir: &path::Path, name: &str, value: &serde_json::Value) -> path::PathBuf {
     let file = dir.join(name);
     fs::write(&file, value.to_string()).unwrap();
     file
 }
 
-/// Publishes `value` on top of `base`; gives the version it became.
+/// Publishes `value`, based on version `base`. Returns its version.
 pub async fn publish(fleet: &fleet::Fleet, base: u64, value: &serde_json::Value) -> u64 {
     let file = write(fleet.dir(), &format!("mesh-{base}.json"), value);
     let done = fleet.publish(&file, base, &["--json", "--wait-ms", "30000"]).await.unwrap();
@@ -74,7 +77,7 @@
     done.version().unwrap()
 }
 
-/// Starts a fleet and publishes the first configuration; gives the version all nodes run.
+/// Starts a fleet with its first configuration. Returns it with the version that all nodes run.
 pub async fn start(plan: fleet::Plan) -> (fleet::Fleet, u64) {
     let dir = std::env::temp_dir();
     let name = format!("dandelionspool-first-{}-{:p}.json", std::process::id(), &plan);
@@ -84,29 +87,29 @@
     (fleet.unwrap(), 1)
 }
 
-/// Version that the node of host `index` runs; `None` when it does not answer.
+/// Version that the node of host `index` runs; `None` if it does not answer.
 pub async fn version(fleet: &fleet::Fleet, index: usize) -> Option<u64> {
     fleet.status(index).await.ok()?["version"].as_u64()
 }
 
 /// Waits until the node of each of `hosts` runs `wanted` or a later version.
 pub async fn until_version(fleet: &fleet::Fleet, hosts: &[usize], wanted: u64) {
-    let end = time::Instant::now() + LIMIT;
+    let deadline = time::Instant::now() + TIMEOUT;
     for index in hosts {
         loop {
             let now = version(fleet, *index).await;
             if now >= Some(wanted) {
                 break;
             }
-            assert!(time::Instant::now() < end, "host {index} runs {now:?}, not {wanted}");
+            assert!(time::Instant::now() < deadline, "host {index} runs {now:?}, not {wanted}");
             tokio::time::sleep(time::Duration::from_millis(50)).await;
         }
     }
 }
 
-/// Waits until every node sees `count` upstreams of `service` that serve.
+/// Waits until every node reports `count` serving upstreams of `service`.
 pub async fn until_serving(fleet: &fleet::Fleet, service: &str, count: u64) {
-    let end = time::Instant::now() + LIMIT;
+    let deadline = time::Instant::now() + TIMEOUT;
     for host in fleet.hosts() {
         loop {
             let status = fleet.status(host.index).await.ok();
@@ -114,7 +117,11 @@
             if seen == Some(count) {
                 break;
             }
-            assert!(time::Instant::now() < end, "host {} sees {seen:?}", host.index);
+            assert!(
+                time::Instant::now() < deadline,
+                "host {} sees {seen:?} serving upstreams",
+                host.index
+            );
             tokio::time::sleep(time::Duration::from_millis(50)).await;
         }
     }
@@ -129,39 +136,51 @@
     records
 }
 
-/// Checks what callers were told against what the upstreams ran.
-pub fn check_truth(told: &[load::Told], records: &[record::Record]) {
+/// Checks the results that callers received against the calls that upstreams ran.
+pub fn check_results(results: &[load::Told], records: &[record::Record]) {
     let mut starts: collections::HashMap<&SmolStr, u32> = collections::HashMap::new();
     let mut keys: collections::HashMap<&SmolStr, u32> = collections::HashMap::new();
-    let mut places: collections::HashMap<&SmolStr, Vec<usize>> = collections::HashMap::new();
-    for (place, record) in records.iter().enumerate() {
+    let mut upstreams: collections::HashMap<&SmolStr, Vec<usize>> = collections::HashMap::new();
+    for (upstream, record) in records.iter().enumerate() {
         assert_eq!(record.lost, 0);
         for (id, run) in &record.runs {
             *starts.entry(id).or_default() += run.starts;
         }
         for (key, count) in &record.keys {
             *keys.entry(key).or_default() += count;
-            places.entry(key).or_default().push(place);
+            upstreams.entry(key).or_default().push(upstream);
         }
     }
     let twice: Vec<_> = keys.iter().filter(|(_, count)| **count > 1).collect();
-    let where_ran: Vec<_> = twice.iter().map(|(key, _)| (key, &places[*key])).collect();
-    assert!(twice.is_empty(), "{} keys ran more than once, at {where_ran:?}", twice.len());
-    let lies: Vec<_> = told
+    let where_ran: Vec<_> = twice.iter().map(|(key, _)| (key, &upstreams[*key])).collect();
+    assert!(
+        twice.is_empty(),
+        "{} keys ran more than once, at upstreams {where_ran:?}",
+        twice.len()
+    );
+    let false_not_run: Vec<_> = results
         .iter()
-        .filter(|t| matches!(t.outcome, load::Outcome::NotRun | load::Outcome::Connect))
-        .filter(|t| starts.contains_key(&t.id))
+        .filter(|r| matches!(r.outcome, load::Outcome::NotRun | load::Outcome::Connect))
+        .filter(|r| starts.contains_key(&r.id))
         .collect();
-    assert!(lies.is_empty(), "{} told not run had run: {:?}", lies.len(), lies.first());
-    let wrong = told.iter().find(|t| t.outcome == load::Outcome::Wrong);
-    assert!(wrong.is_none(), "an answer that is not whole passed as whole: {wrong:?}");
-    let unran = told
+    assert!(
+        false_not_run.is_empty(),
+        "{} calls ran though reported as not run: {:?}",
+        false_not_run.len(),
+        false_not_run.first()
+    );
+    let wrong = results.iter().find(|r| r.outcome == load::Outcome::Wrong);
+    assert!(
+        wrong.is_none(),
+        "an incomplete or foreign answer was taken for a complete one: {wrong:?}"
+    );
+    let never_ran = results
         .iter()
-        .filter(|t| t.outcome == load::Outcome::Served)
-        .find(|t| !starts.contains_key(&t.id) && !ran_by_key(t, &keys));
-    assert!(unran.is_none(), "served without a run: {unran:?}");
+        .filter(|r| r.outcome == load::Outcome::Served)
+        .find(|r| !starts.contains_key(&r.id) && !ran_by_key(r, &keys));
+    assert!(never_ran.is_none(), "served without a run: {never_ran:?}");
 }
 
-fn ran_by_key(told: &load::Told, keys: &collections::HashMap<&SmolStr, u32>) -> bool {
-    told.key.as_ref().is_some_and(|key| keys.contains_key(key))
+fn ran_by_key(result: &load::Told, keys: &collections::HashMap<&SmolStr, u32>) -> bool {
+    result.key.as_ref().is_some_and(|key| keys.contains_key(key))
 }
