--- a/soak/src/series.rs
+++ b/soak/src/series.rs
@@ -147,7 +147,7 @@
     }
 }
 
-/// An act, and for an act that lasts the delay in milliseconds and the act that ends it.
+/// An act, and the act that ends it with its delay in milliseconds, if the first one lasts.
 type Pair = (Act, Option<(u64, Act)>);
 
 fn draw_planned(rng: &mut SmallRng, host: usize) -> Pair {
--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -1,4 +1,4 @@
-//! Keeps the pages under docs/ true to the tree.
+//! Checks that the pages under docs/ agree with the source code.
 
 use std::collections;
 use std::fs;
@@ -18,8 +18,8 @@
     names.map(|n| n.trim_matches('`').to_owned()).collect()
 }
 
-/// Names declared in the dependency sections of the manifest.
-fn declared() -> collections::BTreeSet<String> {
+/// Crates declared in the dependency sections of the manifest.
+fn declared_crates() -> collections::BTreeSet<String> {
     let manifest = read("Cargo.toml");
     let mut names = collections::BTreeSet::new();
     let mut inside = false;
@@ -39,15 +39,15 @@
 fn dependencies_page_names_exactly_the_declared_crates() {
     let mut listed = table_names(&read("docs/DEPENDENCIES.md"));
     listed.remove("crate");
-    assert_eq!(listed, declared());
+    assert_eq!(listed, declared_crates());
 }
 
-/// All test sources of the tree, as one text.
-fn tests(dir: &path::Path, text: &mut String) {
+/// Appends all Rust sources under `dir` to `text`.
+fn append_sources(dir: &path::Path, text: &mut String) {
     for entry in fs::read_dir(dir).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            tests(&path, text);
+            append_sources(&path, text);
         } else if path.extension().is_some_and(|e| e == "rs") {
             text.push_str(&fs::read_to_string(&path).unwrap());
         }
@@ -58,8 +58,8 @@
 fn every_test_named_in_the_promises_exists() {
     let root = path::Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut text = String::new();
-    tests(&root.join("src"), &mut text);
-    tests(&root.join("tests"), &mut text);
+    append_sources(&root.join("src"), &mut text);
+    append_sources(&root.join("tests"), &mut text);
     let page = read("docs/PROMISES.md");
     let names: Vec<_> = page.split('`').skip(1).step_by(2).filter(|n| n.contains('_')).collect();
     assert!(names.len() > 20);
@@ -67,18 +67,19 @@
     assert!(missing.is_empty(), "no such tests: {missing:?}");
 }
 
-/// Sources of the product, which must not know the platform's names.
-fn sources(dir: &path::Path, found: &mut Vec<path::PathBuf>) {
+/// Collects the paths of all Rust sources under `dir`.
+fn source_files(dir: &path::Path, found: &mut Vec<path::PathBuf>) {
     for entry in fs::read_dir(dir).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            sources(&path, found);
+            source_files(&path, found);
         } else if path.extension().is_some_and(|e| e == "rs") {
             found.push(path);
         }
     }
 }
 
+/// Only the adapter in platform/ may contain the names that the platform uses.
 #[rstest]
 fn names_of_the_platform_stay_in_its_folder() {
     let names = [
@@ -94,16 +95,16 @@
         "heartbeataddr",
     ];
     let mut found = Vec::new();
-    sources(&path::Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), &mut found);
-    assert!(found.len() > 100, "the sources are there");
+    source_files(&path::Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), &mut found);
+    assert!(found.len() > 100, "too few sources found");
     for path in found {
         let text = fs::read_to_string(&path).unwrap().to_lowercase();
         let name = names.iter().find(|name| text.contains(*name));
-        assert_eq!(name, None, "{} names what belongs to platform/", path.display());
+        assert_eq!(name, None, "{} contains a name that belongs to platform/", path.display());
     }
 }
 
-/// Messages of the log lines in `text` that are written by default: the first literal of each macro.
+/// Messages of the log lines of level error, warn and info in `text`: the first literal of each.
 fn messages(text: &str) -> impl Iterator<Item = String> + '_ {
     let macros = ["log::error!(", "log::warn!(", "log::info!("];
     let calls = macros.into_iter().flat_map(move |name| text.split(name).skip(1));
@@ -114,10 +115,10 @@
 fn the_page_of_log_lines_names_exactly_those_that_are_written() {
     let root = path::Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut found = Vec::new();
-    sources(&root.join("src"), &mut found);
-    let apart = ["src/bench", "src/standin", "src/bin"].map(|dir| root.join(dir));
-    let test = |path: &path::Path| path.components().any(|c| c.as_os_str() == "tests");
-    found.retain(|path| !apart.iter().any(|dir| path.starts_with(dir)) && !test(path));
+    source_files(&root.join("src"), &mut found);
+    let excluded = ["src/bench", "src/standin", "src/bin"].map(|dir| root.join(dir));
+    let is_test = |path: &path::Path| path.components().any(|c| c.as_os_str() == "tests");
+    found.retain(|path| !excluded.iter().any(|dir| path.starts_with(dir)) && !is_test(path));
     let texts: Vec<_> = found.iter().map(|path| fs::read_to_string(path).unwrap()).collect();
     let written: collections::BTreeSet<_> = texts.iter().flat_map(|t| messages(t)).collect();
     let page = read("docs/LOGS.md");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Tests of the fleet of real processes: it starts, signals and ends what it says.
+//! Tests of the fleet of real processes: their start, signals, faults and end.
 
 use std::path;
 use std::time;
@@ -9,7 +9,7 @@
 use dandelionspool::standin::upstream::answer;
 use rstest::rstest;
 
-const LIMIT: time::Duration = time::Duration::from_secs(20);
+const TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 fn programs() -> fleet::Programs {
     fleet::Programs {
@@ -24,16 +24,17 @@
     fleet::Plan::new(programs()).nodes(false).group(group)
 }
 
-async fn answers(fleet: &fleet::Fleet, index: usize, limit: time::Duration) -> bool {
+/// Whether the upstream of host `index` gives a complete answer within `timeout`.
+async fn answers(fleet: &fleet::Fleet, index: usize, timeout: time::Duration) -> bool {
     let address = fleet.hosts()[index].upstream_addr();
-    let answer = http::get(address, "/browse", limit).await;
+    let answer = http::get(address, "/browse", timeout).await;
     answer.is_ok_and(|answer| answer::check(answer.body(), "", b"").is_ok())
 }
 
 async fn until_answers(fleet: &fleet::Fleet, index: usize) {
-    let end = time::Instant::now() + LIMIT;
+    let deadline = time::Instant::now() + TIMEOUT;
     while !answers(fleet, index, time::Duration::from_secs(1)).await {
-        assert!(time::Instant::now() < end, "host {index} does not answer");
+        assert!(time::Instant::now() < deadline, "host {index} does not answer");
         tokio::time::sleep(time::Duration::from_millis(10)).await;
     }
 }
@@ -61,16 +62,16 @@
     until_answers(&fleet, 1).await;
     fleet.pause(0, fleet::Part::Upstream).unwrap();
     assert!(!answers(&fleet, 0, time::Duration::from_millis(200)).await);
-    assert!(answers(&fleet, 1, LIMIT).await);
+    assert!(answers(&fleet, 1, TIMEOUT).await);
     fleet.resume(0, fleet::Part::Upstream).unwrap();
-    assert!(answers(&fleet, 0, LIMIT).await);
+    assert!(answers(&fleet, 0, TIMEOUT).await);
     fleet.kill(0, fleet::Part::Upstream).unwrap();
-    assert!(!answers(&fleet, 0, LIMIT).await);
+    assert!(!answers(&fleet, 0, TIMEOUT).await);
     assert!(matches!(fleet.terminate(0, fleet::Part::Upstream), Err(fleet::Error::NoProcess(0))));
     fleet.restart(0, fleet::Part::Upstream).unwrap();
     until_answers(&fleet, 0).await;
     fleet.terminate(1, fleet::Part::Upstream).unwrap();
-    assert_eq!(fleet.ended(1, fleet::Part::Upstream, LIMIT).await.unwrap(), Some(0));
+    assert_eq!(fleet.ended(1, fleet::Part::Upstream, TIMEOUT).await.unwrap(), Some(0));
 }
 
 #[tokio::test]
@@ -79,7 +80,7 @@
     until_answers(&fleet, 0).await;
     let before = fleet.record(0).await.unwrap().starts;
     fleet.control(0, &serde_json::json!({ "shed": 1.0 })).await.unwrap();
-    assert!(!answers(&fleet, 0, LIMIT).await);
+    assert!(!answers(&fleet, 0, TIMEOUT).await);
     let record = fleet.record(0).await.unwrap();
     assert_eq!((record.starts, record.sheds), (before, 1));
     fleet.log_faults(&serde_json::json!({ "outage": "refuse" })).await.unwrap();
@@ -88,16 +89,16 @@
 }
 
 #[tokio::test]
-async fn a_process_that_ends_by_itself_is_named_with_its_words() {
+async fn a_process_that_exits_early_is_reported_with_its_name_and_output() {
     let plan = plan().log_arguments(&["--no-such-option"]);
     let error = fleet::Fleet::start(plan).await.unwrap_err();
-    let fleet::Error::Ended(name, words) = error else { panic!("{error}") };
+    let fleet::Error::Ended(name, output) = error else { panic!("{error}") };
     assert_eq!(name, "log");
-    assert!(words.contains("--no-such-option"), "{words}");
+    assert!(output.contains("--no-such-option"), "{output}");
 }
 
 #[rstest]
-#[case::most(209, true)]
+#[case::max(209, true)]
 #[case::one_more(210, false)]
 fn a_plan_is_bounded(#[case] hosts: usize, #[case] fits: bool) {
     let plan = fleet::Plan::new(programs()).group(fleet::Group::new("shop", hosts));
@@ -115,12 +116,12 @@
 async fn a_fleet_behind_the_fault_proxy_reaches_its_log_through_it() {
     let fleet = fleet::Fleet::start(plan().faults()).await.unwrap();
     let path = "/streams/config?from=0&most=1&wait_ms=0";
-    let read = http::get(fleet.known_log_addr(), path, LIMIT).await;
+    let read = http::get(fleet.known_log_addr(), path, TIMEOUT).await;
     assert!(read.is_ok(), "{read:?}");
     let cut = rules::Faults { cut: true, ..Default::default() };
     let to = vec![fleet.known_log_addr()];
     fleet.rules(&[rules::Rule { to, faults: cut, ..Default::default() }]).await.unwrap();
-    assert!(http::get(fleet.known_log_addr(), path, LIMIT).await.is_err());
-    assert!(http::get(fleet.log_addr(), path, LIMIT).await.is_ok());
+    assert!(http::get(fleet.known_log_addr(), path, TIMEOUT).await.is_err());
+    assert!(http::get(fleet.log_addr(), path, TIMEOUT).await.is_ok());
     assert!(fleet.fault_counts().await.unwrap()["cuts"].as_u64().unwrap() >= 1);
 }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,5 +1,5 @@
-//! The whole path in separate processes: an operator publishes, nodes and upstreams run, a caller
-//! gets the whole answer through a node that is not the upstream's own.
+//! End-to-end tests with separate processes: an operator publishes, nodes and upstreams run, and a
+//! caller receives the complete answer through a node on another host than the upstream's.
 
 use std::env;
 use std::fs;
@@ -18,8 +18,10 @@
 use rstest::rstest;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 
-const LIMIT: time::Duration = time::Duration::from_secs(10);
-const PATIENCE: time::Duration = time::Duration::from_secs(30);
+/// Timeout of a request.
+const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(10);
+/// Time after which a test that waits for a condition fails.
+const TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
 fn programs() -> fleet::Programs {
     fleet::Programs {
@@ -32,7 +34,7 @@
     path::Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/configurations/cascadia.json")
 }
 
-/// Two upstreams of each service and a host without one.
+/// Starts a fleet with two upstreams of each service and a host without an upstream.
 async fn start() -> fleet::Fleet {
     let group = |service| fleet::Group::new(service, 2).mean_ms(2.0).grace_ms(50);
     let plan = fleet::Plan::new(programs())
@@ -44,7 +46,7 @@
     fleet::Fleet::start(plan).await.unwrap()
 }
 
-/// Address for callers of the host without an upstream.
+/// Caller address of the host without an upstream.
 fn entry(fleet: &fleet::Fleet) -> net::SocketAddr {
     fleet.hosts().last().unwrap().id.call_addr()
 }
@@ -60,27 +62,28 @@
         .header(headers::IDEMPOTENCY_KEY, key)
         .body(Full::new(Bytes::from_static(body)))
         .unwrap();
-    http::send(to, request, LIMIT).await.unwrap()
+    http::send(to, request, REQUEST_TIMEOUT).await.unwrap()
 }
 
 fn header<'a>(answer: &'a ::http::Response<Bytes>, name: &str) -> &'a str {
     answer.headers().get(name).map(|v| v.to_str().unwrap()).unwrap_or_default()
 }
 
-/// Repeats `path` until it is served; the view of the upstreams takes a moment to spread.
-async fn served(to: net::SocketAddr, path: &str) -> ::http::Response<Bytes> {
-    let end = time::Instant::now() + PATIENCE;
+/// Requests `path` until it is served, since nodes need some time to learn of the upstreams.
+async fn until_served(to: net::SocketAddr, path: &str) -> ::http::Response<Bytes> {
+    let deadline = time::Instant::now() + TIMEOUT;
     loop {
-        let answer = http::get(to, path, LIMIT).await.unwrap();
+        let answer = http::get(to, path, REQUEST_TIMEOUT).await.unwrap();
         if answer.status() == ::http::StatusCode::OK {
             return answer;
         }
         assert_eq!(header(&answer, headers::OUTCOME), headers::NOT_RUN);
-        assert!(time::Instant::now() < end, "{path} is not served: {answer:?}");
+        assert!(time::Instant::now() < deadline, "{path} is not served: {answer:?}");
         tokio::time::sleep(time::Duration::from_millis(50)).await;
     }
 }
 
+/// Number of calls that all upstreams have started.
 async fn starts(fleet: &fleet::Fleet) -> u64 {
     let mut starts = 0;
     for index in 0..4 {
@@ -89,17 +92,18 @@
     starts
 }
 
-/// Line `index` of what a command printed; -1 is the last one.
+/// Line `index` of the output of a command; -1 is the last line.
 fn line(published: &fleet::Published, index: isize) -> &str {
     let lines: Vec<_> = published.stdout.lines().collect();
     lines[index.rem_euclid(lines.len() as isize) as usize]
 }
 
+/// Waits until all nodes run `version`.
 async fn until_all_run(fleet: &fleet::Fleet, version: u64) {
-    let end = time::Instant::now() + PATIENCE;
+    let deadline = time::Instant::now() + TIMEOUT;
     for index in 0..fleet.hosts().len() {
         while fleet.status(index).await.unwrap()["version"] != version {
-            assert!(time::Instant::now() < end, "host {index} does not run version {version}");
+            assert!(time::Instant::now() < deadline, "host {index} does not run version {version}");
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
     }
@@ -108,7 +112,7 @@
 #[tokio::test]
 async fn a_caller_gets_the_whole_answer_through_another_node() {
     let fleet = start().await;
-    let answer = served(entry(&fleet), "/lists/7").await;
+    let answer = until_served(entry(&fleet), "/lists/7").await;
     assert_eq!(header(&answer, headers::OUTCOME), headers::RAN);
     let id = header(&answer, headers::REQUEST_ID);
     answer::check(answer.body(), id, b"").unwrap();
@@ -123,7 +127,7 @@
 #[tokio::test]
 async fn a_non_idempotent_call_with_a_key_runs_once_however_often_it_is_sent() {
     let fleet = start().await;
-    served(entry(&fleet), "/lists/7").await;
+    until_served(entry(&fleet), "/lists/7").await;
     let mut statuses = Vec::new();
     for _ in 0..5 {
         let answer = post(entry(&fleet), "/purchases", "toaster-1", b"a toaster").await;
@@ -151,28 +155,28 @@
     assert_eq!((&verdict["verdict"], &verdict["version"]), (&"accepted".into(), &2.into()));
     let last: serde_json::Value = serde_json::from_str(line(&published, -1)).unwrap();
     assert_eq!((&last["running"], &last["hosts"]), (&5.into(), &5.into()), "{published:?}");
-    // Followed to its end: no node is asked again before it runs the version.
+    // The command returned after every node had reported the version, so that each runs it now.
     for index in 0..5 {
         assert_eq!(fleet.status(index).await.unwrap()["version"], 2);
     }
-    served(entry(&fleet), "/registries/7").await;
-    let gone = http::get(entry(&fleet), "/lists/7", LIMIT).await.unwrap();
-    assert_eq!(gone.status(), ::http::StatusCode::NOT_FOUND);
-    let late = fleet.publish(&configuration(), 1, &["--json"]).await.unwrap();
-    assert_eq!(late.code, 3, "{late:?}");
+    until_served(entry(&fleet), "/registries/7").await;
+    let removed = http::get(entry(&fleet), "/lists/7", REQUEST_TIMEOUT).await.unwrap();
+    assert_eq!(removed.status(), ::http::StatusCode::NOT_FOUND);
+    let conflict = fleet.publish(&configuration(), 1, &["--json"]).await.unwrap();
+    assert_eq!(conflict.code, 3, "{conflict:?}");
 }
 
 #[tokio::test]
-async fn what_is_malformed_or_has_no_route_reaches_no_upstream() {
+async fn a_request_that_is_malformed_or_has_no_route_reaches_no_upstream() {
     let fleet = start().await;
-    served(entry(&fleet), "/lists/7").await;
+    until_served(entry(&fleet), "/lists/7").await;
     let before = starts(&fleet).await;
-    let unknown = http::get(entry(&fleet), "/nowhere", LIMIT).await.unwrap();
+    let unknown = http::get(entry(&fleet), "/nowhere", REQUEST_TIMEOUT).await.unwrap();
     assert_eq!(unknown.status(), ::http::StatusCode::NOT_FOUND);
     let mut stream = tokio::net::TcpStream::connect(entry(&fleet)).await.unwrap();
     stream.write_all(b"GET /lists/7 HTTP/9.9\r\n\r\n").await.unwrap();
     let mut answer = Vec::new();
-    tokio::time::timeout(LIMIT, stream.read_to_end(&mut answer)).await.unwrap().unwrap();
+    tokio::time::timeout(REQUEST_TIMEOUT, stream.read_to_end(&mut answer)).await.unwrap().unwrap();
     assert!(answer.starts_with(b"HTTP/1.1 400 "), "{:?}", String::from_utf8_lossy(&answer));
     assert_eq!(starts(&fleet).await, before);
 }
@@ -184,8 +188,11 @@
     "/zoen"
 )]
 #[case::no_mesh(r#"{"key":"0123456789abcdef0123456789abcdef"}"#, "/mesh")]
-fn a_node_with_broken_settings_says_where_and_ends_with_1(#[case] text: &str, #[case] says: &str) {
-    let name = format!("dandelionspool-{}-{}.json", process::id(), says.replace('/', "-"));
+fn a_node_with_invalid_settings_reports_the_place_and_exits_with_1(
+    #[case] text: &str,
+    #[case] message: &str,
+) {
+    let name = format!("dandelionspool-{}-{}.json", process::id(), message.replace('/', "-"));
     let file = env::temp_dir().join(name);
     fs::write(&file, text).unwrap();
     let mut command = process::Command::new(env!("CARGO_BIN_EXE_dandelionspool"));
@@ -193,20 +200,20 @@
     fs::remove_file(&file).unwrap();
     let stderr = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(1), "{stderr}");
-    assert!(stderr.contains(says), "{stderr}");
+    assert!(stderr.contains(message), "{stderr}");
 }
 
-/// A process that does not outlive its test.
+/// A process that is killed at the end of its test.
 struct Child(process::Child);
 
 impl Child {
     async fn ended(&mut self) -> process::ExitStatus {
-        let end = time::Instant::now() + PATIENCE;
+        let deadline = time::Instant::now() + TIMEOUT;
         loop {
             if let Some(status) = self.0.try_wait().unwrap() {
                 return status;
             }
-            assert!(time::Instant::now() < end, "the process does not end");
+            assert!(time::Instant::now() < deadline, "the process does not end");
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
     }
@@ -214,14 +221,15 @@
 
 impl Drop for Child {
     fn drop(&mut self) {
-        // An error means that it has ended.
+        // An error means that the process has ended already.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// An example like the shipped one at addresses of this process's own.
-fn local_example(dir: &path::Path) -> (path::PathBuf, host::HostId) {
+/// Writes settings like those of the shipped example, at addresses that depend on the process id.
+/// Returns their file and the first host.
+fn local_settings(dir: &path::Path) -> (path::PathBuf, host::HostId) {
     let number = process::id();
     let first = format!("127.{}.{}.1", 100 + number % 50, number / 50 % 250);
     let text = serde_json::json!({
@@ -240,20 +248,20 @@
 async fn a_small_mesh_in_one_process_serves_and_goes_down_cleanly() {
     let dir = env::temp_dir().join(format!("dandelionspool-local-{}", process::id()));
     fs::create_dir_all(&dir).unwrap();
-    let (file, first) = local_example(&dir);
+    let (file, first) = local_settings(&dir);
     let mut command = process::Command::new(env!("CARGO_BIN_EXE_dandelionspool"));
     command.arg("local").arg(&file).stdout(process::Stdio::null());
     let mut child = Child(command.spawn().unwrap());
-    let end = time::Instant::now() + PATIENCE;
-    while http::get(first.admin_addr(), "/ready", LIMIT).await.map(|a| a.status()).ok()
+    let deadline = time::Instant::now() + TIMEOUT;
+    while http::get(first.admin_addr(), "/ready", REQUEST_TIMEOUT).await.map(|a| a.status()).ok()
         != Some(::http::StatusCode::OK)
     {
-        assert!(time::Instant::now() < end, "the mesh does not get ready");
+        assert!(time::Instant::now() < deadline, "the mesh does not become ready");
         tokio::time::sleep(time::Duration::from_millis(50)).await;
     }
-    served(first.call_addr(), "/lists/7").await;
+    until_served(first.call_addr(), "/lists/7").await;
     let pid = libc::pid_t::try_from(child.0.id()).unwrap();
-    // SAFETY: signals the child that this test started and has not waited for.
+    // SAFETY: kill takes two integers; the child has not been waited for, so the id is its own.
     let sent = unsafe { libc::kill(pid, libc::SIGINT) };
     assert_eq!(sent, 0);
     assert_eq!(child.ended().await.code(), Some(0));
