--- a/soak/src/setup.rs
+++ b/soak/src/setup.rs
@@ -49,14 +49,14 @@
     NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed)
 }
 
-/// Publishes the configuration with the given number, based on version `base`. Returns its version.
+/// Publishes a configuration that differs by `turn`, based on version `base`. Returns its version.
 ///
 /// # Errors
 ///
 /// The publish command can't be run, or fails.
-pub async fn publish(fleet: &fleet::Fleet, base: u64, number: u64) -> Result<u64, Error> {
-    let file = fleet.dir().join(format!("mesh-{number}.json"));
-    write_configuration(&file, number)?;
+pub async fn publish(fleet: &fleet::Fleet, base: u64, turn: u64) -> Result<u64, Error> {
+    let file = fleet.dir().join(format!("mesh-{turn}.json"));
+    write_configuration(&file, turn)?;
     let done = fleet.publish(&file, base, &["--json", "--wait-ms", "20000"]).await?;
     done.version().ok_or(Error::Publish(done.code))
 }
@@ -78,7 +78,7 @@
         .keep()
 }
 
-fn write_configuration(file: &path::Path, number: u64) -> Result<(), Error> {
+fn write_configuration(file: &path::Path, turn: u64) -> Result<(), Error> {
     let kind = |name, idempotent, body_bytes| {
         json!({ "name": name, "weight": 1, "idempotent": idempotent, "body_bytes": body_bytes,
                 "attempts": MAX_ATTEMPTS })
@@ -89,7 +89,7 @@
     };
     let mesh = json!({
         "format": 3,
-        "organisations": [{ "name": "sellers" }, { "name": format!("organisation-{number}") }],
+        "organisations": [{ "name": "sellers" }, { "name": format!("organisation-{turn}") }],
         "services": [{
             "name": SERVICE, "organisation": "sellers", "timeout_ms": 1500, "queue": 8,
             "kinds": [kind("browse", true, 1000), kind("order", false, 100_000)]
