--- a/src/admit/concurrency.rs
+++ b/src/admit/concurrency.rs
@@ -35,7 +35,7 @@
     /// The highest number of calls that ran at once at the start of a call that was served.
     served: usize,
     /// Whether a call was shed beside fewer calls than were served at once.
-    random: bool,
+    shed_at_random: bool,
     ended: u32,
 }
 
@@ -62,9 +62,9 @@
     pub(super) fn shed(&mut self, others: usize) {
         // An upstream that runs no other call has a free slot, so it sheds at random.
         if others == 0 || others < self.current.served.max(self.previous.served) {
-            self.current.random = true;
+            self.current.shed_at_random = true;
             self.learned = self.announced;
-        } else if !self.current.random && !self.previous.random {
+        } else if !self.current.shed_at_random && !self.previous.shed_at_random {
             self.learned = self.learned.min(others);
         }
         self.ended = 0;
--- a/src/admit/gate.rs
+++ b/src/admit/gate.rs
@@ -215,12 +215,12 @@
 
     /// Removes a waiter that can't meet its deadline.
     fn remove_too_late(&mut self, now: clock::Instant) -> Option<admit::Call> {
-        let (slots, stalled) = (self.shared_slots(), self.stalled(now));
-        let mut work = self.running_time(stalled);
+        let (slots, since_last_start) = (self.shared_slots(), self.since_last_start(now));
+        let mut work = self.running_time(since_last_start);
         let times = &self.times;
         self.queue.remove_first(|waiter| {
             let wait = work / slots;
-            work += times.mean(waiter.kind).max(stalled);
+            work += times.mean(waiter.kind).max(since_last_start);
             times.misses(waiter.kind, waiter.deadline, wait, now)
         })
     }
@@ -232,18 +232,19 @@
 
     /// Time until a slot is free for a call that is queued at `position`, counted from 0.
     fn expected_wait(&self, position: usize, now: clock::Instant) -> time::Duration {
-        let stalled = self.stalled(now);
+        let since_last_start = self.since_last_start(now);
         let ahead = self.queue.iter().take(position);
-        let ahead: time::Duration = ahead.map(|w| self.times.mean(w.kind).max(stalled)).sum();
-        (self.running_time(stalled) + ahead) / self.shared_slots()
+        let ahead: time::Duration =
+            ahead.map(|w| self.times.mean(w.kind).max(since_last_start)).sum();
+        (self.running_time(since_last_start) + ahead) / self.shared_slots()
     }
 
-    /// Mean service time of the running calls, at least `stalled`: while calls hang, their service
-    /// time is not measured.
-    fn running_time(&self, stalled: time::Duration) -> time::Duration {
+    /// Mean service time of the running calls, at least `since_last_start`: the service time of
+    /// calls that hang is not measured.
+    fn running_time(&self, since_last_start: time::Duration) -> time::Duration {
         let work: time::Duration = self.running.iter().map(|r| self.times.mean(r.kind)).sum();
         let calls = u32::try_from(self.running.len().max(1)).unwrap_or(u32::MAX);
-        (work / calls).max(stalled)
+        (work / calls).max(since_last_start)
     }
 
     /// Slots for which the calls wait, at least one.
@@ -252,7 +253,7 @@
     }
 
     /// Time since a call last started; zero if none runs.
-    fn stalled(&self, now: clock::Instant) -> time::Duration {
+    fn since_last_start(&self, now: clock::Instant) -> time::Duration {
         self.running.iter().map(|r| now.since(r.since)).min().unwrap_or_default()
     }
 
