--- a/src/bench/calls/mod.rs
+++ b/src/bench/calls/mod.rs
@@ -1,5 +1,5 @@
 //! `dandelionspool-bench calls` measures calls through nodes: real processes on loopback under
-//! open-loop load, at several levels and with faults, beside direct calls to an upstream.
+//! open-loop load, at several levels and with faults, compared with direct calls to an upstream.
 
 use std::path;
 
@@ -38,16 +38,16 @@
     pub json: bool,
 }
 
-/// What kept a run from being made.
+/// Why a run failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The fleet.
+    /// The fleet failed.
     #[error(transparent)]
     Fleet(#[from] fleet::Error),
-    /// The load.
+    /// The load can't be run.
     #[error(transparent)]
     Load(#[from] load::Error),
-    /// A file of the run.
+    /// A file can't be read or written.
     #[error("{0}: {1}")]
     File(path::PathBuf, std::io::Error),
     /// A publish was refused.
--- a/src/bench/calls/report.rs
+++ b/src/bench/calls/report.rs
@@ -1,4 +1,4 @@
-//! The figures of one run.
+//! The results of one run.
 
 use serde::Serialize;
 use smol_str::SmolStr;
@@ -30,26 +30,26 @@
     }
 }
 
-/// Figures of one kind of call.
+/// Results of one kind of call.
 #[derive(Clone, Debug, Serialize)]
 pub struct Flow {
     /// Its name.
     pub name: SmolStr,
-    /// Calls whose start fell due.
+    /// Calls whose start time was reached.
     pub due: u64,
-    /// Calls served whole.
+    /// Calls that ran and whose complete response arrived.
     pub served: u64,
     /// Calls refused as not run.
     pub refused: u64,
     /// Calls that may have run.
     pub unknown: u64,
-    /// Calls without an answer in time, or with a broken one.
+    /// Calls without a complete response in time or without an outcome header, and calls not sent.
     pub unanswered: u64,
-    /// Calls with an answer taken as whole that was not; must be 0.
+    /// Calls whose response had no error but was truncated or another call's; must be 0.
     pub wrong: u64,
-    /// Times of calls served whole.
+    /// Latency of the served calls.
     pub whole: Latency,
-    /// Times of refusals.
+    /// Latency of the refusals.
     pub refusals: Latency,
 }
 
@@ -74,29 +74,29 @@
     }
 }
 
-/// The figures of one run.
+/// The results of one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
     /// What was run.
     pub case: String,
     /// Load in percent of the capacity without a fault.
     pub percent: u32,
-    /// Weighted service over the most that was offered and could be served without a fault.
+    /// Weight of the served calls, divided by the maximum that could be served without a fault.
     pub goodput: f64,
     /// By kind; `quick` are the calls that take no time at the upstream.
     pub flows: Vec<Flow>,
-    /// Calls that take no time, made directly to an upstream.
+    /// Latency of calls that take no time, sent directly to an upstream.
     pub direct: Latency,
-    /// What the way through the nodes adds to the 99th percentile, in microseconds.
+    /// What the path through the nodes adds to the 99th percentile, in microseconds.
     pub added_p99_us: i64,
-    /// Median through nodes over median direct.
+    /// Median through the nodes, divided by the median of direct calls.
     pub ratio_p50: f64,
     /// Reasons of refusals and failures with their counts.
     pub reasons: std::collections::BTreeMap<SmolStr, u64>,
 }
 
 impl Row {
-    /// The figures of `case`, in which the upstreams could run `capacity` calls.
+    /// The results of `case`, in which the upstreams could run `capacity` calls.
     pub(super) fn new(
         case: site::Case,
         capacity: f64,
@@ -124,27 +124,27 @@
     }
 }
 
-/// The most weight that `capacity` calls could serve of those due, the heaviest first.
+/// The maximum weight that `capacity` calls can serve, with the heaviest of the due calls first.
 fn best(tally: &load::Tally, capacity: f64) -> f64 {
     let mut counts: Vec<(u32, u64)> = tally.counts.iter().map(|c| (c.weight, c.due)).collect();
     counts.sort_unstable_by(|a, b| b.cmp(a));
-    let mut left = capacity;
+    let mut remaining = capacity;
     let mut best = 0.0;
     for (weight, due) in counts.into_iter().filter(|(weight, _)| *weight > 0) {
-        let run = left.min(due as f64);
-        left -= run;
+        let run = remaining.min(due as f64);
+        remaining -= run;
         best += run * f64::from(weight);
     }
     best
 }
 
-/// The version that a node's status names; 0 when it names none.
+/// The version in a node's status; 0 if there is none.
 pub(super) fn version(status: &serde_json::Value) -> u64 {
     let version = status.get("version");
     version.and_then(serde_json::Value::as_u64).unwrap_or_default()
 }
 
-/// Prints `rows` for people.
+/// Prints `rows` as text.
 pub(super) fn print(rows: &[Row]) {
     for row in rows {
         println!(
--- a/src/bench/calls/run.rs
+++ b/src/bench/calls/run.rs
@@ -1,4 +1,4 @@
-//! Makes the runs, one after the other, on one fleet.
+//! Makes the runs in sequence on one fleet.
 
 use std::fs;
 use std::path;
@@ -12,19 +12,19 @@
 use crate::bench::fleet;
 use crate::bench::load;
 
-/// Time before each run that is not counted, in seconds.
-const WARMUP: f64 = 2.0;
+/// Time at the start of each run that is not counted.
+const WARMUP_SECONDS: f64 = 2.0;
 /// Pause between two runs.
 const PAUSE: time::Duration = time::Duration::from_secs(2);
-/// Calls a second that take no time at the upstream, through nodes and direct alike.
-const QUICK: f64 = 50.0;
-/// How many times longer a slow upstream takes.
-const SLOW: f64 = 5.0;
-/// Threads of the load.
+/// Calls per second that take no time at the upstream, both through nodes and direct.
+const QUICK_RATE: f64 = 50.0;
+/// Factor on the time of a call at a slow upstream.
+const SLOW_FACTOR: f64 = 5.0;
+/// Number of threads of the load through the nodes.
 const THREADS: usize = 2;
-/// The upstream that has the fault.
-const HIT: usize = 0;
-/// The upstream that is called directly.
+/// Index of the host whose upstream has the fault.
+const FAULTY: usize = 0;
+/// Index of the host whose upstream is called directly.
 const DIRECT: usize = 1;
 
 /// Makes every run that `args` asks for.
@@ -37,20 +37,20 @@
     let mut rows = Vec::new();
     for case in site::Case::ALL {
         if args.only.is_none_or(|only| only == case) {
-            rows.push(one(args, case, &mut fleet, &file).await?);
+            rows.push(measure(args, case, &mut fleet, &file).await?);
             tokio::time::sleep(PAUSE).await;
         }
     }
     Ok(rows)
 }
 
-async fn one(
+async fn measure(
     args: &calls::Args,
     case: site::Case,
     fleet: &mut fleet::Fleet,
     file: &path::Path,
 ) -> Result<report::Row, calls::Error> {
-    before(args, case, fleet).await?;
+    inject_before(args, case, fleet).await?;
     let capacity = args.preset.upstreams() as f64 * f64::from(site::SLOTS) * 1000.0 / args.mean;
     let rate = capacity * f64::from(case.percent()) / 100.0;
     let entries = fleet.hosts().iter().map(|h| h.id.call_addr()).collect();
@@ -58,61 +58,64 @@
     for flow in args.preset.flows(rate) {
         through = through.flow(flow);
     }
-    let quick = load::Flow::new("quick", "GET", args.preset.quick(), QUICK).weight(0);
+    let quick = load::Flow::new("quick", "GET", args.preset.quick(), QUICK_RATE).weight(0);
     let quick = quick.host(site::HOST);
     let through = through.flow(quick.clone()).threads(THREADS);
     let direct = plan(args, vec![fleet.hosts()[DIRECT].upstream_addr()]).flow(quick);
     let (through, direct, ()) = tokio::try_join!(
         async { Ok::<_, calls::Error>(load::drive(through).await?) },
         async { Ok(load::drive(direct).await?) },
-        middle(args, case, fleet, file),
+        inject_midway(args, case, fleet, file),
     )?;
-    after(case, fleet).await?;
+    repair(case, fleet).await?;
     Ok(report::Row::new(case, capacity * args.seconds, through, direct))
 }
 
 fn plan(args: &calls::Args, targets: Vec<std::net::SocketAddr>) -> load::Plan {
-    load::Plan::new(targets).seconds(WARMUP + args.seconds).warmup(WARMUP).seed(args.seed)
+    load::Plan::new(targets)
+        .seconds(WARMUP_SECONDS + args.seconds)
+        .warmup(WARMUP_SECONDS)
+        .seed(args.seed)
 }
 
-/// Brings about a fault that is there from the start.
-async fn before(
+/// Injects a fault that exists from the start of the run.
+async fn inject_before(
     args: &calls::Args,
     case: site::Case,
     fleet: &fleet::Fleet,
 ) -> Result<(), calls::Error> {
     match case {
         site::Case::Slow => {
-            let millis = (args.mean * (SLOW - 1.0)) as u64;
-            fleet.control(HIT, &json!({ "slow_ms": millis })).await?;
+            let millis = (args.mean * (SLOW_FACTOR - 1.0)) as u64;
+            fleet.control(FAULTY, &json!({ "slow_ms": millis })).await?;
         }
         site::Case::Lying => {
-            fleet.control(HIT, &json!({ "lie": true, "shed": 0.5 })).await?;
+            fleet.control(FAULTY, &json!({ "lie": true, "shed": 0.5 })).await?;
         }
         _ => {}
     }
     Ok(())
 }
 
-/// Brings about what happens in the middle of a run.
-async fn middle(
+/// Injects a fault or change in the middle of the run.
+async fn inject_midway(
     args: &calls::Args,
     case: site::Case,
     fleet: &mut fleet::Fleet,
     file: &path::Path,
 ) -> Result<(), calls::Error> {
-    tokio::time::sleep(time::Duration::from_secs_f64(WARMUP + args.seconds / 2.0)).await;
+    tokio::time::sleep(time::Duration::from_secs_f64(WARMUP_SECONDS + args.seconds / 2.0)).await;
     match case {
         site::Case::Change => change(fleet, file).await,
-        site::Case::Dead => Ok(fleet.kill(HIT, fleet::Part::Upstream)?),
-        site::Case::Drain => Ok(fleet.control(HIT, &json!({ "drain": true })).await?),
+        site::Case::Dead => Ok(fleet.kill(FAULTY, fleet::Part::Upstream)?),
+        site::Case::Drain => Ok(fleet.control(FAULTY, &json!({ "drain": true })).await?),
         _ => Ok(()),
     }
 }
 
-/// Publishes the same configuration with one more blank, which is a new version.
+/// Publishes the same configuration with one more space, which makes it a new version.
 async fn change(fleet: &fleet::Fleet, file: &path::Path) -> Result<(), calls::Error> {
-    let status = fleet.status(HIT).await?;
+    let status = fleet.status(FAULTY).await?;
     let base = report::version(&status);
     let mut text = fs::read(file).map_err(|e| calls::Error::File(file.into(), e))?;
     text.push(b' ');
@@ -122,14 +125,14 @@
     if done.code == 0 { Ok(()) } else { Err(calls::Error::Publish(done.code, done.stderr)) }
 }
 
-/// Takes a fault back.
-async fn after(case: site::Case, fleet: &mut fleet::Fleet) -> Result<(), calls::Error> {
+/// Ends the fault of the run.
+async fn repair(case: site::Case, fleet: &mut fleet::Fleet) -> Result<(), calls::Error> {
     match case {
-        site::Case::Slow => fleet.control(HIT, &json!({ "slow_ms": 0 })).await?,
+        site::Case::Slow => fleet.control(FAULTY, &json!({ "slow_ms": 0 })).await?,
         site::Case::Lying => {
-            fleet.control(HIT, &json!({ "lie": false, "shed": 0.0 })).await?;
+            fleet.control(FAULTY, &json!({ "lie": false, "shed": 0.0 })).await?;
         }
-        site::Case::Dead => fleet.restart(HIT, fleet::Part::Upstream)?,
+        site::Case::Dead => fleet.restart(FAULTY, fleet::Part::Upstream)?,
         _ => {}
     }
     Ok(())
--- a/src/bench/calls/site.rs
+++ b/src/bench/calls/site.rs
@@ -1,4 +1,4 @@
-//! What is modelled and what is done to it.
+//! The sites that are modelled, and the runs with their loads and faults.
 
 use std::fmt;
 use std::str;
@@ -8,13 +8,13 @@
 use crate::bench::fleet;
 use crate::bench::load;
 
-/// Slots of each upstream, as the brief gives them for both sites.
+/// Slots of each upstream, the same for both sites.
 pub(super) const SLOTS: u16 = 9;
 
 /// Host header of the calls; the routes of both examples match every host.
 pub(super) const HOST: &str = "site.test";
 
-/// A site of the brief.
+/// A site whose services and load are modelled.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Preset {
@@ -24,7 +24,7 @@
     Cascadia,
 }
 
-/// A name that is neither a preset's nor a run's.
+/// The name is not that of a preset or run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("unknown name")]
 pub struct Unknown;
@@ -51,12 +51,12 @@
 }
 
 impl Preset {
-    /// The configuration published, from the root of the repository.
+    /// Path of the published configuration, relative to the root of the repository.
     pub(super) fn configuration(self) -> String {
         format!("examples/configurations/{self}.json")
     }
 
-    /// Upstreams of the service under load.
+    /// Number of upstreams of the service under load.
     pub(super) const fn upstreams(self) -> usize {
         match self {
             Self::Condor => 9,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Path whose calls take no time at the upstream, for the time that the way adds.
+    /// Path whose calls take no time at the upstream, so that their latency is that of the nodes.
     pub(super) const fn quick(self) -> &'static str {
         match self {
             Self::Condor => "/titles/quick",
@@ -82,7 +82,7 @@
         group.connections(connections).mean_ms(mean).mean_of(self.quick(), 0.0)
     }
 
-    /// Calls of `rate` a second in all, by kind.
+    /// The flows of calls by kind, with a total of `rate` calls per second.
     pub(super) fn flows(self, rate: f64) -> Vec<load::Flow> {
         let flow = |name, method, path, share: f64, weight| {
             load::Flow::new(name, method, path, rate * share).host(HOST).weight(weight)
@@ -105,11 +105,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Case {
-    /// Load in percent of capacity, nothing wrong.
+    /// Load in percent of capacity, without a fault.
     Load(u32),
-    /// One upstream takes five times as long, at half load.
+    /// One upstream is five times as slow, at half load.
     Slow,
-    /// One upstream says that it is idle and sheds half of its calls, at half load.
+    /// One upstream reports that it is idle and sheds half of its calls, at half load.
     Lying,
     /// A new version is published in the middle, at half load.
     Change,
@@ -123,7 +123,7 @@
 const FAULT_LOAD: u32 = 50;
 
 impl Case {
-    /// Every run, in an order in which none disturbs the next.
+    /// Every run, in an order in which none affects the next.
     pub(super) const ALL: [Case; 9] = [
         Case::Load(50),
         Case::Load(90),
--- a/src/bench/capacity.rs
+++ b/src/bench/capacity.rs
@@ -1,4 +1,4 @@
-//! `dandelionspool-bench capacity` works out the capacity table from measured slopes.
+//! `dandelionspool-bench capacity` computes the capacity table from measured costs per unit.
 
 use std::fs;
 use std::io;
@@ -24,7 +24,7 @@
     pub file: path::PathBuf,
 }
 
-/// Why there is no table.
+/// Why the table can't be computed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file can't be read.
--- a/src/bench/capacity/measures.rs
+++ b/src/bench/capacity/measures.rs
@@ -1,11 +1,11 @@
-//! The measurements file: named values, each with the command that gave it.
+//! The measurements file: named values, each with the command that produced it.
 
 use std::collections;
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// One value.
+/// One value with its unit and origin.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Measure {
@@ -13,13 +13,13 @@
     pub value: f64,
     /// Its unit.
     pub unit: SmolStr,
-    /// The command that gave it, or the reason for an estimate.
+    /// The command that produced it, or the reason for an estimate.
     pub from: String,
     /// Whether it was measured; an estimate is marked in every row that uses it.
     pub measured: bool,
 }
 
-/// All values by name.
+/// All values of the file by name.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct Measures {
@@ -31,12 +31,12 @@
 #[error("the measurement `{0}` is missing")]
 pub struct Missing(pub SmolStr);
 
-/// A number with whether it rests on measurements only.
+/// A number that knows whether it depends on measurements only.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Figure {
     /// The number.
     pub value: f64,
-    /// Whether everything it was worked out from was measured.
+    /// Whether all values from which it was computed were measured.
     pub measured: bool,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl Figure {
-    /// A number that is given, not measured.
+    /// A number that is given by the design, which counts as measured.
     pub const fn given(value: f64) -> Self {
         Self { value, measured: true }
     }
--- a/src/bench/capacity/table.rs
+++ b/src/bench/capacity/table.rs
@@ -1,4 +1,4 @@
-//! The capacity table: each role at the size to design for.
+//! The capacity table: the load of each role in a mesh of the design size.
 
 use std::fmt::Write as _;
 use std::mem;
@@ -9,45 +9,45 @@
 use crate::bench::capacity::measures::{Figure, Measures, Missing};
 use crate::pick;
 
-/// Upstreams, each with its node.
+/// Number of upstreams, each of which has a node.
 const NODES: f64 = 2800.0;
-/// Services.
+/// Number of services.
 const SERVICES: f64 = 370.0;
-/// Calls a second over the whole mesh.
-const CALLS: f64 = 600_000.0;
-/// Availability zones.
+/// Calls per second over all nodes.
+const CALLS_PER_SECOND: f64 = 600_000.0;
+/// Number of availability zones.
 const ZONES: f64 = 5.0;
-/// Configuration changes a day.
-const CHANGES: f64 = 1000.0;
-/// Hosts replaced or failed a day.
-const CHURN: f64 = 425.0;
-/// Seconds of a day.
-const DAY: f64 = 86_400.0;
-/// Share of calls that carry an idempotency key; the plan names none.
-const KEYED: f64 = 0.01;
-/// Readers of the log in each zone.
-const READERS: f64 = 2.0;
-/// Claim partitions, each with one writer.
+/// Configuration changes per day.
+const CHANGES_PER_DAY: f64 = 1000.0;
+/// Hosts replaced or failed per day.
+const CHURN_PER_DAY: f64 = 425.0;
+/// Length of a day.
+const DAY_SECONDS: f64 = 86_400.0;
+/// Share of calls with an idempotency key, for which the requirements give no figure.
+const KEYED_SHARE: f64 = 0.01;
+/// Nodes that read the log in each zone.
+const READERS_PER_ZONE: f64 = 2.0;
+/// Number of claim partitions, each of which has one writer.
 const PARTITIONS: f64 = 16.0;
 
 /// One line of the table.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
-    /// What the line is about.
+    /// Role of a node, or the part of the system, that bears the load.
     pub role: &'static str,
     /// Quantity.
     pub what: &'static str,
     /// Figure with its unit.
     pub figure: SmolStr,
-    /// Limit, if there is one.
+    /// Limit; empty if there is none.
     pub limit: &'static str,
-    /// Whether it rests on measured values only.
+    /// Whether it was computed from measured values only.
     pub measured: bool,
-    /// What carries it.
+    /// The mechanism that handles the load.
     pub mechanism: &'static str,
 }
 
-/// Works out every line.
+/// Computes all lines.
 pub fn rows(m: &Measures) -> Result<Vec<Row>, Missing> {
     let mut rows = Vec::new();
     calls(m, &mut rows)?;
@@ -58,7 +58,7 @@
 }
 
 fn calls(m: &Measures, rows: &mut Vec<Row>) -> Result<(), Missing> {
-    let rate = Figure::given(CALLS / NODES);
+    let rate = Figure::given(CALLS_PER_SECOND / NODES);
     let entry = m.get("entry_cpu_us")? * rate * 1e-6;
     rows.push(row(
         "entry",
@@ -78,29 +78,29 @@
 
 fn control(m: &Measures, rows: &mut Vec<Row>) -> Result<(), Missing> {
     let idle = m.get("member_idle_bytes")?;
-    let churn = m.get("member_churn_bytes")? * (CHURN / DAY);
-    let change = m.get("spread_change_bytes")? * (CHANGES / DAY);
-    let whole = idle + churn + change;
+    let churn = m.get("member_churn_bytes")? * (CHURN_PER_DAY / DAY_SECONDS);
+    let change = m.get("spread_change_bytes")? * (CHANGES_PER_DAY / DAY_SECONDS);
+    let total = idle + churn + change;
     rows.push(row("member", "sent, idle", rate(idle), "", idle, "SWIM probes and digests"));
     rows.push(row("member", "sent, churn", rate(churn), "", churn, "bounded retransmission"));
     rows.push(row("replica", "sent, changes", rate(change), "", change, "push tree of patches"));
-    rows.push(row("node", "sent, control", rate(whole), "3 KB/s", whole, "sum of the three above"));
+    rows.push(row("node", "sent, control", rate(total), "3 KB/s", total, "sum of the three above"));
     let cpu = m.get("member_cpu_us_per_s")? * 1e-6;
     rows.push(row("member", "processor", cores(cpu), "4%", cpu, "pure decision, 2,800 fed"));
     let state = m.get("member_state_bytes")?;
     rows.push(row("member", "state", megabytes(state), "64 MB", state, "one record a host"));
-    let reads = m.get("reader_reads_per_s")? * (ZONES * READERS);
+    let reads = m.get("reader_reads_per_s")? * (ZONES * READERS_PER_ZONE);
     let mechanism = "two readers a zone by rendezvous hashing";
     rows.push(row("reader", "reads of the log, mesh", per_second(reads), "", reads, mechanism));
-    let snapshots = m.get("snapshot_appends_per_day")? * (1.0 / DAY);
-    let published = snapshots + Figure::given(CHANGES / DAY);
+    let snapshots = m.get("snapshot_appends_per_day")? * (1.0 / DAY_SECONDS);
+    let published = snapshots + Figure::given(CHANGES_PER_DAY / DAY_SECONDS);
     let mechanism = "publish and snapshot records";
     rows.push(row("log", "appends, config", per_second(published), "", published, mechanism));
     Ok(())
 }
 
 fn ledger(m: &Measures, rows: &mut Vec<Row>) -> Result<(), Missing> {
-    let keyed = CALLS * KEYED;
+    let keyed = CALLS_PER_SECOND * KEYED_SHARE;
     let appends = m.get("claim_appends_per_s")? * PARTITIONS;
     let mechanism = "group commit, one writer a partition";
     rows.push(row("log", "appends, claims", per_second(appends), "hundreds", appends, mechanism));
--- a/src/bench/capacity/tests.rs
+++ b/src/bench/capacity/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[rstest]
-fn the_page_shows_what_the_measurements_give() {
+fn the_page_shows_the_table_computed_from_the_measurements() {
     let table = table::markdown(&table::rows(&shipped()).unwrap());
     assert!(PAGE.contains(&table), "docs/CAPACITY.md should contain:\n{table}");
 }
--- a/src/bench/converge.rs
+++ b/src/bench/converge.rs
@@ -1,4 +1,4 @@
-//! `dandelionspool-bench converge` measures the spread of accepted versions.
+//! `dandelionspool-bench converge` measures how accepted versions reach all nodes.
 
 use std::fs;
 use std::time;
@@ -18,8 +18,8 @@
 pub mod sample;
 pub mod source;
 
-/// Time for the fleet to come to rest before anything is measured.
-const REST: time::Duration = time::Duration::from_secs(8);
+/// Time after the start in which the fleet becomes idle before anything is measured.
+const STABILIZATION_TIME: time::Duration = time::Duration::from_secs(8);
 
 /// Example configurations, by preset.
 const EXAMPLES: [(&str, &str); 2] = [
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 ///
-/// An unknown preset, a fleet that does not start, a log that does not answer.
+/// Fails on an unknown preset, or when the fleet does not start or the log does not respond.
 pub fn run(args: &Args) -> Result<(), exit::Failure> {
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| exit::Failure::Refused(e.into()))?;
@@ -90,7 +90,7 @@
     let fleet = fleet::Fleet::start(plan.configuration(&file)).await;
     let _ = fs::remove_file(&file);
     let mut fleet = fleet.map_err(refused)?;
-    tokio::time::sleep(REST).await;
+    tokio::time::sleep(STABILIZATION_TIME).await;
     let log = configs::log::Log { address: fleet.log_addr(), ..configs::log::Log::default() };
     let mut operator = source::Operator::new(&log, example).map_err(refused)?;
     let first = sample::statuses(&fleet).await;
@@ -119,7 +119,7 @@
     let middle = (tokio::time::Instant::now(), sample::sums(fleet, &sample::statuses(fleet).await));
     let idle_s = (middle.0 - begin.0).as_secs_f64();
     let idle = middle.1.since(&begin.1);
-    let (mut took, mut missed, mut delta) = (Vec::new(), 0, 0.0);
+    let (mut latencies_ms, mut missed, mut delta) = (Vec::new(), 0, 0.0);
     for _ in 0..args.changes {
         let before = operator.body().clone();
         let change = operator.publish().await.map_err(refused)?;
@@ -128,7 +128,7 @@
         for status in sample::statuses(fleet).await {
             let runs = status.filter(|s| s.version == change.version.number());
             match runs.and_then(|s| s.applied_unix_ms) {
-                Some(millis) => took.push(millis.saturating_sub(change.unix_millis)),
+                Some(millis) => latencies_ms.push(millis.saturating_sub(change.unix_millis)),
                 None => missed += 1,
             }
         }
@@ -148,7 +148,7 @@
         nodes: args.nodes,
         changes: args.changes,
         missed,
-        convergence_ms: report::Quantiles::of(took),
+        convergence_ms: report::Quantiles::of(latencies_ms),
         idle_bytes_s: bytes(&idle, idle_s * nodes),
         change_bytes: bytes(&changed, changes * nodes),
         delta_bytes: delta / changes,
--- a/src/bench/converge/baseline.rs
+++ b/src/bench/converge/baseline.rs
@@ -1,4 +1,4 @@
-//! What the distribution is measured against: every node polls the log itself.
+//! The baseline for comparison: every node polls the log itself.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -18,17 +18,17 @@
 use crate::traffic;
 use crate::version;
 
-/// Time between two polls of one node.
-pub const PERIOD: time::Duration = time::Duration::from_secs(1);
+/// Time between two polls by one node.
+pub const POLL_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// Time given to a change to reach all.
-const PATIENCE: time::Duration = time::Duration::from_secs(10);
+/// Time limit for a change to reach all nodes.
+const CHANGE_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// What every node polls the log for.
+/// What every node reads in each poll.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// The whole file, each time.
+    /// The complete latest configuration file.
     Whole,
     /// The records since the last poll.
     New,
@@ -37,17 +37,17 @@
 /// Figures of a baseline.
 #[derive(Clone, Debug, Serialize)]
 pub struct Baseline {
-    /// What is polled for.
+    /// What every node reads in each poll.
     pub kind: Kind,
     /// Time between two polls, in milliseconds.
     pub period_ms: u64,
-    /// Time from acceptance until a node holds the version.
+    /// Time from the acceptance of a version until a node has it.
     pub convergence_ms: report::Quantiles,
-    /// Bytes between log and nodes, a node a second.
+    /// Bytes exchanged with the log, per node and second.
     pub node_bytes_s: f64,
-    /// Reads of the log a second by all nodes.
+    /// Reads of the log per second by all nodes.
     pub reads_s: f64,
-    /// Bytes sent by the log a second to all nodes.
+    /// Bytes sent by the log per second to all nodes.
     pub read_bytes_s: f64,
 }
 
@@ -55,19 +55,21 @@
     log: http::Client,
     kind: Kind,
     reads: Rc<atomic::AtomicU64>,
+    /// Latest version that the node has.
     held: Rc<atomic::AtomicU64>,
+    /// When it received this version, in milliseconds since the Unix epoch.
     seen: Rc<atomic::AtomicU64>,
 }
 
 impl Poller {
     async fn run(self) {
-        let spread = PERIOD.mul_f64(rand::rng().random_range(0.0..1.0));
+        let spread = POLL_INTERVAL.mul_f64(rand::rng().random_range(0.0..1.0));
         tokio::time::sleep(spread).await;
         let mut cursor = 0;
         loop {
             let begin = tokio::time::Instant::now();
             cursor = self.poll(cursor).await;
-            tokio::time::sleep_until(begin + PERIOD).await;
+            tokio::time::sleep_until(begin + POLL_INTERVAL).await;
         }
     }
 
@@ -95,7 +97,7 @@
 ///
 /// # Errors
 ///
-/// The log does not answer the operator.
+/// Fails when the log does not respond to the operator.
 pub async fn measure(
     kind: Kind,
     nodes: usize,
@@ -115,7 +117,7 @@
         tasks.spawn_local(poller.run());
         polled.push((held, seen));
     }
-    tokio::time::sleep(PERIOD * 3).await;
+    tokio::time::sleep(POLL_INTERVAL * 3).await;
     let counts = traffic.of(traffic::Purpose::Log);
     let load = |c: &traffic::Counts| {
         let sent = c.sent.load(atomic::Ordering::Relaxed);
@@ -123,13 +125,13 @@
     };
     let (before, begin) = (load(counts), tokio::time::Instant::now());
     let reads_before = reads.load(atomic::Ordering::Relaxed);
-    let mut took = Vec::new();
+    let mut latencies_ms = Vec::new();
     for _ in 0..changes {
         let change = operator.publish().await?;
         wait(&polled, change.version).await;
         for (_, seen) in &polled {
             let seen = seen.load(atomic::Ordering::Relaxed);
-            took.push(seen.saturating_sub(change.unix_millis));
+            latencies_ms.push(seen.saturating_sub(change.unix_millis));
         }
     }
     let (after, span) = (load(counts), begin.elapsed().as_secs_f64());
@@ -137,8 +139,8 @@
     let received = (after.1 - before.1) as f64;
     Ok(Baseline {
         kind,
-        period_ms: PERIOD.as_millis() as u64,
-        convergence_ms: report::Quantiles::of(took),
+        period_ms: POLL_INTERVAL.as_millis() as u64,
+        convergence_ms: report::Quantiles::of(latencies_ms),
         node_bytes_s: (received + (after.0 - before.0) as f64) / span / nodes as f64,
         reads_s: reads / span,
         read_bytes_s: received / span,
@@ -149,7 +151,7 @@
     polled: &[(Rc<atomic::AtomicU64>, Rc<atomic::AtomicU64>)],
     version: version::Version,
 ) {
-    let until = tokio::time::Instant::now() + PATIENCE;
+    let until = tokio::time::Instant::now() + CHANGE_TIMEOUT;
     let all = || polled.iter().all(|p| p.0.load(atomic::Ordering::Relaxed) >= version.number());
     while !all() && tokio::time::Instant::now() < until {
         tokio::time::sleep(time::Duration::from_millis(20)).await;
--- a/src/bench/converge/report.rs
+++ b/src/bench/converge/report.rs
@@ -1,4 +1,4 @@
-//! Figures of a measurement of the spread.
+//! The report of a measurement of `converge`.
 
 use std::time;
 
@@ -9,11 +9,11 @@
 /// Quantiles of times, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Quantiles {
-    /// Half of them.
+    /// Median.
     pub p50: u64,
-    /// 99 of 100.
+    /// 99th percentile.
     pub p99: u64,
-    /// The longest.
+    /// Maximum.
     pub max: u64,
 }
 
@@ -22,23 +22,23 @@
     pub fn of(mut list: Vec<u64>) -> Self {
         list.sort_unstable();
         let at = |share: f64| {
-            let place = (share * list.len() as f64).ceil() as usize;
-            list.get(place.saturating_sub(1)).copied().unwrap_or_default()
+            let rank = (share * list.len() as f64).ceil() as usize;
+            list.get(rank.saturating_sub(1)).copied().unwrap_or_default()
         };
         Self { p50: at(0.5), p99: at(0.99), max: at(1.0) }
     }
 }
 
-/// Control bytes of one node, by purpose: sent to other nodes, and both ways with the log.
+/// Control traffic of one node in bytes by purpose: sent to other nodes, or exchanged with the log.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Bytes {
     /// Membership.
     pub member: f64,
-    /// Configuration between nodes.
+    /// Configuration sent between nodes.
     pub spread: f64,
-    /// Requests to the log and its answers.
+    /// Requests to the log and its responses.
     pub log: f64,
-    /// All of them.
+    /// The sum of the others.
     pub total: f64,
 }
 
@@ -51,36 +51,36 @@
     pub nodes: usize,
     /// Changes published.
     pub changes: usize,
-    /// Nodes that did not run a change in time, over all changes; its times are left out.
+    /// Number of times that a node did not apply a change in time; these have no convergence time.
     pub missed: usize,
-    /// Time from acceptance until a node runs the version.
+    /// Time from the acceptance of a version until a node applies it.
     pub convergence_ms: Quantiles,
-    /// Control bytes a node a second while nothing changes.
+    /// Control traffic per node and second while nothing changes.
     pub idle_bytes_s: Bytes,
-    /// Control bytes a node a change, what is idle taken off.
+    /// Control traffic per node and change, minus the idle traffic.
     pub change_bytes: Bytes,
-    /// The compressed delta with its digest, in bytes, a change.
+    /// Mean size of a change's compressed delta with its digest, in bytes.
     pub delta_bytes: f64,
-    /// Bytes of configuration between nodes a node a change, over the delta with its digest.
+    /// Bytes of configuration sent between nodes per node and change, divided by `delta_bytes`.
     pub spread_ratio: f64,
-    /// Requests to the log a change by all nodes, what is idle taken off.
+    /// Requests of all nodes to the log per change, minus the idle ones.
     pub source_reads: f64,
-    /// Bytes sent by the log a change to all nodes, what is idle taken off.
+    /// Bytes sent by the log to all nodes per change, minus the idle ones.
     pub source_bytes: f64,
-    /// Requests to the log a second by all nodes while nothing changes.
+    /// Requests of all nodes to the log per second while nothing changes.
     pub idle_reads_s: f64,
-    /// Share of a core a node used while nothing changed, in percent.
+    /// Processor use per node while nothing changes, in percent of a core.
     pub idle_cpu_percent: f64,
-    /// Processor time a node a change, in milliseconds, what is idle taken off.
+    /// Processor time per node and change in milliseconds, minus the idle time.
     pub change_cpu_ms: f64,
-    /// Largest resident memory of a node, in MiB.
+    /// Maximum resident memory of a node, in MiB.
     pub rss_mib: f64,
-    /// Every node polls the log.
+    /// The same measurements when every node polls the log.
     pub baselines: Vec<baseline::Baseline>,
 }
 
 impl Report {
-    /// The figures as text.
+    /// The report as text.
     pub fn text(&self) -> String {
         let mut out = format!(
             "{} nodes, preset {}, {} changes ({} missed)\n\
--- a/src/bench/converge/sample.rs
+++ b/src/bench/converge/sample.rs
@@ -1,4 +1,4 @@
-//! What all nodes of a fleet report at one moment.
+//! Samples of the status and resource use of all nodes of a fleet.
 
 use futures_util::future;
 
@@ -23,12 +23,12 @@
 }
 
 impl Sums {
-    /// What was added since `earlier`.
+    /// The difference from the sums `earlier`.
     pub fn since(&self, earlier: &Sums) -> Sums {
         self.minus(earlier, 1.0)
     }
 
-    /// These sums without `times` times those of `other`.
+    /// These sums minus `times` times those of `other`.
     pub fn minus(&self, other: &Sums, times: f64) -> Sums {
         Sums {
             member: self.member - times * other.member,
@@ -41,7 +41,7 @@
     }
 }
 
-/// The status of every node; `None` for one that does not answer.
+/// The status of every node; `None` for one that does not respond.
 pub async fn statuses(fleet: &fleet::Fleet) -> Vec<Option<status::Status>> {
     let asked = (0..fleet.hosts().len()).map(|index| fleet.status(index));
     let answers = future::join_all(asked).await.into_iter();
@@ -67,7 +67,7 @@
     sums
 }
 
-/// Largest resident memory of a node, in bytes.
+/// Maximum resident memory of a node, in bytes.
 pub fn peak(fleet: &fleet::Fleet) -> u64 {
     let stats = (0..fleet.hosts().len()).filter_map(|i| fleet.stat(i, fleet::Part::Node).ok());
     stats.map(|s| s.peak).max().unwrap_or_default()
--- a/src/bench/converge/source.rs
+++ b/src/bench/converge/source.rs
@@ -1,4 +1,4 @@
-//! The operator of a measurement: publishes one small change after the other.
+//! An operator who publishes a series of small changes.
 
 use std::sync::Arc;
 use std::time;
@@ -12,19 +12,19 @@
 use crate::traffic;
 use crate::version;
 
-/// What can go wrong while publishing.
+/// Why a change can't be published.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The example is not JSON.
     #[error("the example is not JSON")]
     Json(#[from] serde_json::Error),
-    /// The log does not answer.
-    #[error("the log does not answer")]
+    /// A request to the log failed.
+    #[error("a request to the log failed")]
     Log(#[from] http::Error),
     /// The record can't be encoded.
     #[error("the record can't be encoded")]
     Record(#[from] record::Error),
-    /// The record can't be found again.
+    /// The record can't be read back.
     #[error("the log lost the record at {0}")]
     Lost(logs::Offset),
 }
@@ -34,9 +34,9 @@
 pub struct Change {
     /// The version.
     pub version: version::Version,
-    /// When the log appended it, in milliseconds since the Unix epoch.
+    /// Time at which the log appended it, in milliseconds since the Unix epoch.
     pub unix_millis: u64,
-    /// Its file.
+    /// The published file.
     pub body: Bytes,
 }
 
@@ -51,14 +51,14 @@
 }
 
 impl Operator {
-    /// An operator of the log at `settings`, who starts from the file `example`.
+    /// An operator for the log that `settings` name, whose changes start from the file `example`.
     pub fn new(settings: &configs::log::Log, example: &str) -> Result<Self, Error> {
         let log = http::Client::new(settings, Arc::new(traffic::Traffic::default()));
         let file = serde_json::from_str(example)?;
         Ok(Self { log, file, body: Bytes::new(), base: version::Version::NONE, count: 0 })
     }
 
-    /// Takes `version`, whose file is `body`, as the current one.
+    /// Sets the version on which the next change is based, and its file.
     pub fn start_from(&mut self, version: version::Version, body: &str) {
         self.base = version;
         self.body = Bytes::copy_from_slice(body.as_bytes());
@@ -69,7 +69,7 @@
         &self.body
     }
 
-    /// Changes one limit of one service and publishes the file.
+    /// Changes the timeout of one service and publishes the file.
     pub async fn publish(&mut self) -> Result<Change, Error> {
         self.count += 1;
         self.file["services"][0]["timeout_ms"] = (2000 + self.count).into();
--- a/src/bench/fault.rs
+++ b/src/bench/fault.rs
@@ -26,22 +26,22 @@
     pub seed: u64,
 }
 
-/// Two addresses: where something is taken and where it goes.
+/// An address that the proxy binds and the one to which it forwards.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Pair {
-    /// Where it is taken.
+    /// Address that the proxy binds.
     pub from: net::SocketAddr,
-    /// Where it goes.
+    /// Address to which it forwards.
     pub to: net::SocketAddr,
 }
 
-/// Why a [`Pair`] can't be read.
+/// Why a [`Pair`] can't be parsed.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum PairError {
     /// There is no equals sign.
     #[error("expected ADDRESS=ADDRESS")]
     Form,
-    /// One side is no address.
+    /// One side is not an address.
     #[error(transparent)]
     Address(#[from] net::AddrParseError),
 }
--- a/src/bench/log.rs
+++ b/src/bench/log.rs
@@ -26,7 +26,7 @@
 }
 
 impl Args {
-    /// The stand-in's options.
+    /// The options of the stand-in that these arguments ask for.
     pub fn options(&self) -> log::Options {
         let age = time::Duration::from_secs(self.retention_s);
         let retention = log::store::Retention { age, count: self.records };
--- a/src/bench/mod.rs
+++ b/src/bench/mod.rs
@@ -1,7 +1,7 @@
 //! Experiments with real processes on loopback: stand-ins for the platform and measurements.
 //!
-//! Each command is one file with its `Args` and `run`; a line in [`Command`] and one in `run`
-//! name it.
+//! Each command is a module with `Args` and `run`. It is registered by a variant of [`Command`] and
+//! a line in `run`.
 
 use std::process;
 
@@ -49,7 +49,7 @@
     Upstream(#[bpaf(external(upstream::args))] upstream::Args),
 }
 
-/// Runs the command line of the bench.
+/// Runs the command that the command line asks for.
 pub fn main() -> process::ExitCode {
     exit::main(command(), run)
 }
--- a/src/bench/policies/case.rs
+++ b/src/bench/policies/case.rs
@@ -1,8 +1,8 @@
-//! What is run against what.
+//! The runs: policies, bounds on retries, faults and load levels.
 
 use serde::Serialize;
 
-/// A way to choose an upstream.
+/// A policy for the choice of the upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
@@ -47,7 +47,7 @@
     }
 }
 
-/// A way to bound retries.
+/// A bound on retries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Retry {
@@ -55,9 +55,9 @@
     None,
     /// Three attempts without a budget.
     Free,
-    /// Three attempts, a budget of a tenth of the calls that come in.
+    /// Three attempts, with a budget of a tenth of the calls that arrive.
     Calls,
-    /// Three attempts, a budget of a tenth of the calls served whole.
+    /// Three attempts, with a budget of a tenth of the calls that are served.
     Served,
 }
 
@@ -75,25 +75,25 @@
     }
 }
 
-/// What is wrong with the upstreams.
+/// A fault of the upstreams, or an unusual pattern of calls.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
     /// Nothing.
     None,
-    /// One takes ten times as long.
+    /// One is ten times as slow.
     Slow,
-    /// One refuses connections; the membership has not noticed.
+    /// One refuses connections, which the membership has not detected.
     Dead,
     /// One has three slots and announces nine; it sheds above three.
     Lying,
-    /// One has just started and takes five times as long at first.
+    /// One has just started and is five times as slow at first.
     Cold,
-    /// Half of the calls come in through the two entries of one availability zone.
+    /// Half of the calls arrive at two entry nodes of one availability zone.
     Skew,
-    /// The calls come in through twenty times as many entries, each of which sees few of them.
+    /// The calls arrive at twenty times as many entry nodes, each of which gets few of them.
     Many,
-    /// All refuse connections; the membership has not noticed.
+    /// All refuse connections, which the membership has not detected.
     Outage,
 }
 
@@ -130,18 +130,18 @@
 /// One run.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Case {
-    /// Choice of the upstream.
+    /// Policy for the choice of the upstream.
     pub policy: Policy,
     /// Bound on retries.
     pub retry: Retry,
-    /// What is wrong.
+    /// The fault.
     pub fault: Fault,
     /// Offered load in percent of capacity.
     pub percent: u32,
 }
 
-/// Every run: all policies of choice with the retries in use, and all bounds on retries with the
-/// policy in use.
+/// Every run: all policies with the bound on retries that the product uses, and all bounds on
+/// retries with the policy that it uses.
 pub fn all() -> impl Iterator<Item = Case> {
     let points = Fault::ALL.into_iter().flat_map(|f| PERCENTS.into_iter().map(move |p| (f, p)));
     points.flat_map(|(fault, percent)| {
--- a/src/bench/policies/mod.rs
+++ b/src/bench/policies/mod.rs
@@ -1,7 +1,7 @@
-//! `dandelionspool-bench policies` runs policies of choice and of retry side by side.
+//! `dandelionspool-bench policies` compares policies for choosing upstreams and for retries.
 //!
-//! The real decisions run in virtual time over modelled upstreams; one process, no sockets, the
-//! same figures for the same seed.
+//! The product's own decisions run in virtual time with modelled upstreams, in one process and
+//! without sockets. The same seed gives the same results.
 
 mod case;
 mod model;
@@ -36,13 +36,13 @@
     pub json: bool,
 }
 
-/// The figures of one run.
+/// The results of one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
     /// What was run.
     #[serde(flatten)]
     pub case: case::Case,
-    /// What came of it.
+    /// Its results.
     #[serde(flatten)]
     pub figures: tally::Figures,
 }
--- a/src/bench/policies/model.rs
+++ b/src/bench/policies/model.rs
@@ -1,4 +1,4 @@
-//! One run in virtual time: entries with their pickers and budgets, upstreams with their gates.
+//! One run in virtual time: entry nodes with pickers and retry budgets, upstreams with gates.
 
 use std::cmp;
 use std::collections;
@@ -18,32 +18,33 @@
 use crate::pick;
 use crate::retry;
 
-/// Tickets of one call: its number times this, plus the attempt.
-const TICKETS: u64 = 16;
+/// Number of tickets per call: the ticket of an attempt is its call's index times this, plus the
+/// attempt's number.
+const TICKETS_PER_CALL: u64 = 16;
 
-/// Attempts where retries are allowed.
-const ATTEMPTS: u8 = 3;
+/// Maximum number of attempts of a call where retries are allowed.
+const MAX_ATTEMPTS: u8 = 3;
 
-/// What happens at an instant.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Event {
-    /// A call comes in at an entry.
+    /// A call arrives at an entry node.
     Arrive { entry: usize },
-    /// An attempt reaches the upstream's node.
+    /// An attempt reaches the upstream's owner node.
     Reach { call: usize, attempt: u8, at: usize },
     /// A call has run.
     Finish { ticket: u64, at: usize },
-    /// The gate asked to be woken.
+    /// The time has come at which the gate asked for a tick.
     Wake { at: usize },
-    /// The end of an attempt reaches the entry.
-    Back { answer: usize },
-    /// The caller gives up.
+    /// The response to an attempt reaches the entry node.
+    Receive { answer: usize },
+    /// The caller's deadline has passed.
     Expire { call: usize },
-    /// The news that the caller left reaches the upstream's node.
-    Leave { ticket: u64, at: usize },
+    /// The cancellation of an attempt reaches the owner node.
+    Cancel { ticket: u64, at: usize },
 }
 
-/// What comes back to an entry.
+/// The response to an attempt.
 #[derive(Clone, Copy, Debug)]
 struct Answer {
     call: usize,
@@ -63,7 +64,7 @@
     kind: setup::Kind,
     since: clock::Instant,
     attempt: u8,
-    /// The attempt that goes on.
+    /// The choice and start of the attempt in flight.
     choice: Option<(pick::Choice, clock::Instant)>,
     counted: bool,
 }
@@ -104,13 +105,14 @@
 
 impl<P: Copy + pick::Policy> Model<P> {
     fn new(policy: P, case: case::Case, seconds: u64, seed: u64, tally: tally::Tally) -> Self {
-        let full = setup::HOSTS as f64 * f64::from(setup::SLOTS) / setup::SERVICE;
+        let full = setup::HOSTS as f64 * f64::from(setup::SLOTS) / setup::MEAN_SERVICE_US;
         let mut rng = rngs::SmallRng::seed_from_u64(seed);
-        let entries =
-            (0..setup::entries(case.fault)).map(|i| entry(policy, case, i, rng.random())).collect();
+        let entries = (0..setup::entries(case.fault))
+            .map(|i| new_entry(policy, case, i, rng.random()))
+            .collect();
         Self {
             now: clock::Instant::ZERO,
-            end: clock::Instant::from_micros(setup::LEAD + seconds * 1_000_000),
+            end: clock::Instant::from_micros(setup::UNCOUNTED_US + seconds * 1_000_000),
             case,
             gap: 100.0 / (full * f64::from(case.percent)),
             rng,
@@ -125,10 +127,10 @@
         }
     }
 
-    /// Calls that the upstreams could have run in `seconds`.
+    /// Number of calls that the upstreams could have run in `seconds`.
     fn capacity(&self, seconds: u64) -> f64 {
         let steps = seconds * 100;
-        let step = |s| clock::Instant::from_micros(setup::LEAD + s * 10_000);
+        let step = |s| clock::Instant::from_micros(setup::UNCOUNTED_US + s * 10_000);
         let rate = |u: &upstream::Upstream, s| {
             if u.dead { 0.0 } else { f64::from(u.slots) * 10_000.0 / u.mean(step(s)) }
         };
@@ -147,21 +149,21 @@
             Event::Reach { call, attempt, at } => self.reach(call, attempt, at),
             Event::Finish { ticket, at } => self.finish(ticket, at),
             Event::Wake { at } => self.gate(at, admit::Event::Tick),
-            Event::Back { answer } => self.back(self.answers[answer]),
+            Event::Receive { answer } => self.receive(self.answers[answer]),
             Event::Expire { call } => self.expire(call),
-            Event::Leave { ticket, at } => self.leave(ticket, at),
+            Event::Cancel { ticket, at } => self.cancel(ticket, at),
         }
     }
 
     fn arrive(&mut self, entry: usize) {
-        let next = self.entry();
+        let next = self.next_entry();
         let gap = (self.gap * upstream::exponential(&mut self.rng)).max(1.0) as u64;
         if self.now < self.end {
             self.push(gap, Event::Arrive { entry: next });
         }
-        let order = self.rng.random_bool(setup::ORDERS);
+        let order = self.rng.random_bool(setup::ORDER_SHARE);
         let kind = if order { setup::Kind::Order } else { setup::Kind::Browse };
-        let counted = self.now.as_micros() >= setup::LEAD;
+        let counted = self.now.as_micros() >= setup::UNCOUNTED_US;
         if counted {
             self.tally.arrived(kind);
         }
@@ -169,12 +171,12 @@
         self.calls.push(call);
         self.entries[entry].budget.record_arrival();
         let call = self.calls.len() - 1;
-        self.push(kind.patience().as_micros() as u64, Event::Expire { call });
+        self.push(kind.timeout().as_micros() as u64, Event::Expire { call });
         self.attempt(call, &[]);
     }
 
-    /// The entry of the next call.
-    fn entry(&mut self) -> usize {
+    /// The entry node at which the next call arrives.
+    fn next_entry(&mut self) -> usize {
         let skewed = self.case.fault == case::Fault::Skew && self.rng.random_bool(0.5);
         if skewed {
             return if self.rng.random_bool(0.5) { 1 } else { 5 };
@@ -196,7 +198,7 @@
         picker.started(choice, self.now);
         self.calls[call].choice = Some((choice, self.now));
         let at = setup::index(choice.host);
-        self.push(setup::way(entry, at), Event::Reach { call, attempt, at });
+        self.push(setup::delay_us(entry, at), Event::Reach { call, attempt, at });
     }
 
     fn reach(&mut self, call: usize, attempt: u8, at: usize) {
@@ -206,14 +208,14 @@
             return self.answer(at, answer);
         }
         let one = &self.calls[call];
-        let ticket = admit::Ticket(call as u64 * TICKETS + u64::from(attempt));
-        let deadline = one.since + one.kind.patience();
+        let ticket = admit::Ticket(call as u64 * TICKETS_PER_CALL + u64::from(attempt));
+        let deadline = one.since + one.kind.timeout();
         let (kind, weight) = (one.kind.number(), one.kind.weight());
         let call = admit::Call { ticket, kind, weight, inner: false, target: deadline, deadline };
         self.gate(at, admit::Event::Arrive(call));
     }
 
-    /// Tells a gate and does what it wants.
+    /// Passes an event to the gate of an upstream and carries out its actions.
     fn gate(&mut self, at: usize, event: admit::Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.upstreams[at].gate.handle(event, self.now, &mut actions);
@@ -227,11 +229,11 @@
             }
         }
         self.actions = actions;
-        if let Some(wake) = self.upstreams[at].gate.next_tick() {
-            let at_most = wake.max(self.now + time::Duration::from_millis(1));
-            if self.upstreams[at].wake.is_none_or(|set| set <= self.now || at_most < set) {
-                self.upstreams[at].wake = Some(at_most);
-                self.push(at_most.since(self.now).as_micros() as u64, Event::Wake { at });
+        if let Some(tick) = self.upstreams[at].gate.next_tick() {
+            let wake = tick.max(self.now + time::Duration::from_millis(1));
+            if self.upstreams[at].wake.is_none_or(|set| set <= self.now || wake < set) {
+                self.upstreams[at].wake = Some(wake);
+                self.push(wake.since(self.now).as_micros() as u64, Event::Wake { at });
             }
         }
     }
@@ -255,7 +257,7 @@
         }
     }
 
-    fn leave(&mut self, ticket: u64, at: usize) {
+    fn cancel(&mut self, ticket: u64, at: usize) {
         let ticket = admit::Ticket(ticket);
         self.upstreams[at].end(ticket);
         self.gate(at, admit::Event::Cancelled { ticket });
@@ -268,26 +270,28 @@
         outcome: retry::Outcome,
         retry_after: Option<time::Duration>,
     ) {
-        let (call, attempt) = ((ticket.0 / TICKETS) as usize, (ticket.0 % TICKETS) as u8);
+        let (call, attempt) =
+            ((ticket.0 / TICKETS_PER_CALL) as usize, (ticket.0 % TICKETS_PER_CALL) as u8);
         let load = Some(self.upstreams[at].gate.load());
         self.answer(at, Answer { call, attempt, outcome, load, retry_after });
     }
 
     fn answer(&mut self, at: usize, answer: Answer) {
         self.answers.push(answer);
-        let way = setup::way(at, self.calls[answer.call].entry);
-        self.push(way, Event::Back { answer: self.answers.len() - 1 });
+        let delay_us = setup::delay_us(at, self.calls[answer.call].entry);
+        self.push(delay_us, Event::Receive { answer: self.answers.len() - 1 });
     }
 
-    fn back(&mut self, answer: Answer) {
+    fn receive(&mut self, answer: Answer) {
         if self.calls[answer.call].attempt == answer.attempt {
-            self.ended(answer.call, answer.outcome, answer.load);
+            self.report_end(answer.call, answer.outcome, answer.load);
             self.settle(answer.call, answer.outcome, answer.retry_after);
         }
     }
 
-    /// Tells the picker that the attempt which goes on has ended; the choice it was made for.
-    fn ended(
+    /// Reports the end of the attempt in flight to the picker and returns its choice; `None` if the
+    /// call has no attempt in flight.
+    fn report_end(
         &mut self,
         call: usize,
         outcome: retry::Outcome,
@@ -311,10 +315,10 @@
         let state = retry::Call {
             idempotent: one.kind == setup::Kind::Browse,
             attempt: one.attempt,
-            max_attempts: if self.case.retry == case::Retry::None { 1 } else { ATTEMPTS },
+            max_attempts: if self.case.retry == case::Retry::None { 1 } else { MAX_ATTEMPTS },
             depth: 0,
             outer_attempt: 1,
-            deadline: one.since + one.kind.patience(),
+            deadline: one.since + one.kind.timeout(),
             answered_bytes: 0,
             buffered: true,
             host: one.choice.take().map(|(choice, _)| choice.host),
@@ -327,7 +331,7 @@
         }
     }
 
-    /// The caller has its final answer; nothing that comes later counts.
+    /// Counts the final outcome of a call. Later responses to it are ignored.
     fn close(&mut self, call: usize, outcome: retry::Outcome) {
         let one = &mut self.calls[call];
         one.attempt = u8::MAX;
@@ -344,18 +348,23 @@
         }
         let (attempt, entry) = (one.attempt, one.entry);
         let outcome = retry::Outcome::Unknown(retry::Reason::Timeout);
-        if let Some(choice) = self.ended(call, outcome, None) {
+        if let Some(choice) = self.report_end(call, outcome, None) {
             let at = setup::index(choice.host);
-            let ticket = call as u64 * TICKETS + u64::from(attempt);
-            self.push(setup::way(entry, at), Event::Leave { ticket, at });
+            let ticket = call as u64 * TICKETS_PER_CALL + u64::from(attempt);
+            self.push(setup::delay_us(entry, at), Event::Cancel { ticket, at });
         }
         self.close(call, outcome);
     }
 }
 
-fn entry<P: Copy + pick::Policy>(policy: P, case: case::Case, index: usize, seed: u64) -> Entry<P> {
+fn new_entry<P: Copy + pick::Policy>(
+    policy: P,
+    case: case::Case,
+    index: usize,
+    seed: u64,
+) -> Entry<P> {
     let settings = configs::call::Call::default();
-    let mut picker = pick::Picker::with_policy(policy, setup::place(index), &settings, seed);
+    let mut picker = pick::Picker::with_policy(policy, setup::locality(index), &settings, seed);
     picker.rebuild(&setup::view(case.fault), &setup::mesh(), clock::Instant::ZERO);
     let budget = match case.retry {
         case::Retry::None | case::Retry::Free => {
--- a/src/bench/policies/setup.rs
+++ b/src/bench/policies/setup.rs
@@ -14,34 +14,34 @@
 use crate::rollout;
 use crate::view;
 
-/// Upstreams; each has its host, which is an entry too.
+/// Number of upstreams. Each is on a host of its own, which is also an entry node.
 pub(super) const HOSTS: usize = 9;
-/// Entries where many hosts call the service.
-const MANY: usize = 180;
+/// Number of entry nodes under [`case::Fault::Many`].
+const MANY_ENTRIES: usize = 180;
 /// Slots of an upstream.
 pub(super) const SLOTS: u16 = 9;
 /// Slots that a lying upstream really has.
 pub(super) const LYING_SLOTS: u16 = 3;
-/// Calls that wait at an upstream.
-pub(super) const QUEUE: u16 = 18;
-/// Mean service time, in microseconds.
-pub(super) const SERVICE: f64 = 10_000.0;
-/// How much longer a slow upstream takes.
-pub(super) const SLOW: f64 = 10.0;
-/// How much longer a cold upstream takes at first.
-pub(super) const COLD: f64 = 5.0;
+/// Maximum number of calls that wait at an upstream.
+pub(super) const QUEUE_CAPACITY: u16 = 18;
+/// Mean time of a call at an upstream.
+pub(super) const MEAN_SERVICE_US: f64 = 10_000.0;
+/// Factor on the time of a call at a slow upstream.
+pub(super) const SLOW_FACTOR: f64 = 10.0;
+/// Factor on the time of a call at a cold upstream that has just started.
+pub(super) const COLD_FACTOR: f64 = 5.0;
 /// Time over which a cold upstream becomes warm.
 pub(super) const WARMUP: time::Duration = time::Duration::from_secs(5);
-/// One way within an availability zone, in microseconds.
-pub(super) const NEAR: u64 = 50;
-/// One way between availability zones, in microseconds.
-pub(super) const FAR: u64 = 500;
+/// One-way network delay within an availability zone.
+pub(super) const ZONE_DELAY_US: u64 = 50;
+/// One-way network delay between availability zones.
+pub(super) const CROSS_ZONE_DELAY_US: u64 = 500;
 /// Share of the calls that are orders.
-pub(super) const ORDERS: f64 = 0.15;
-/// Time before the first call that is counted, in microseconds.
-pub(super) const LEAD: u64 = 500_000;
+pub(super) const ORDER_SHARE: f64 = 0.15;
+/// Time at the start whose calls are not counted.
+pub(super) const UNCOUNTED_US: u64 = 500_000;
 
-/// What every call asks for.
+/// The target of every call.
 pub(super) const TARGET: pick::Target =
     pick::Target { service: mesh::ServiceKey(0), class: None, group: rollout::VersionGroup::Any };
 
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Worth of one call served whole.
+    /// Weight of a served call in the goodput.
     pub(super) const fn weight(self) -> u32 {
         match self {
             Self::Browse => 1,
@@ -74,8 +74,8 @@
         }
     }
 
-    /// How long a caller waits.
-    pub(super) const fn patience(self) -> time::Duration {
+    /// How long a caller waits for the response.
+    pub(super) const fn timeout(self) -> time::Duration {
         match self {
             Self::Browse => time::Duration::from_millis(300),
             Self::Order => time::Duration::from_millis(1000),
@@ -83,9 +83,9 @@
     }
 }
 
-/// Hosts at which calls come in.
+/// Number of entry nodes.
 pub(super) fn entries(fault: case::Fault) -> usize {
-    if fault == case::Fault::Many { MANY } else { HOSTS }
+    if fault == case::Fault::Many { MANY_ENTRIES } else { HOSTS }
 }
 
 /// The zone of the host with `index`.
@@ -93,9 +93,9 @@
     ZONES[index % ZONES.len()]
 }
 
-/// One way between two hosts, in microseconds.
-pub(super) const fn way(from: usize, to: usize) -> u64 {
-    if from % ZONES.len() == to % ZONES.len() { NEAR } else { FAR }
+/// One-way network delay between two hosts.
+pub(super) const fn delay_us(from: usize, to: usize) -> u64 {
+    if from % ZONES.len() == to % ZONES.len() { ZONE_DELAY_US } else { CROSS_ZONE_DELAY_US }
 }
 
 /// The identity of the host with `index`.
@@ -112,12 +112,12 @@
     }
 }
 
-/// Where the host with `index` stands.
-pub(super) fn place(index: usize) -> view::Locality {
+/// Region and zone of the host with `index`.
+pub(super) fn locality(index: usize) -> view::Locality {
     view::Locality { region: SmolStr::new_static("south"), zone: SmolStr::new_static(zone(index)) }
 }
 
-/// What the membership says; it knows of a cold upstream and of no other fault.
+/// The membership view, which shows a cold upstream as warming but no other fault.
 pub(super) fn view(fault: case::Fault) -> view::View {
     view::View::new((0..HOSTS).map(|index| host(index, fault)).collect())
 }
@@ -136,7 +136,7 @@
     };
     view::Host {
         id: id(index),
-        locality: Arc::new(place(index)),
+        locality: Arc::new(locality(index)),
         incarnation: 1,
         health: view::Health::Alive,
         upstream: Some(Arc::new(upstream)),
@@ -155,7 +155,7 @@
         name: SmolStr::new_static("shop"),
         organisation: mesh::OrganisationKey(0),
         timeout: time::Duration::from_secs(1),
-        queue: QUEUE,
+        queue: QUEUE_CAPACITY,
         retries: 10,
         objectives,
     };
--- a/src/bench/policies/tally.rs
+++ b/src/bench/policies/tally.rs
@@ -1,24 +1,24 @@
-//! Counts of one run.
+//! Counts and results of one run.
 
 use serde::Serialize;
 
 use crate::bench::policies::setup;
 use crate::retry;
 
-/// What came of one run.
+/// The results of one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figures {
-    /// Calls that came in.
+    /// Calls that arrived.
     pub calls: u64,
-    /// Weighted service over the most that the upstreams could have given of what was offered.
+    /// Weight of the served calls, divided by the maximum that the upstreams could have served.
     pub goodput: f64,
-    /// Share of the orders that were served whole.
+    /// Share of the orders that were served.
     pub orders: f64,
-    /// Median time to a whole answer, in microseconds.
+    /// Median time to the response of a served call, in microseconds.
     pub p50_us: u64,
-    /// 99th percentile of the time to a whole answer, in microseconds.
+    /// 99th percentile of the time to the response of a served call, in microseconds.
     pub p99_us: u64,
-    /// 99.9th percentile of the time to a whole answer, in microseconds.
+    /// 99.9th percentile of the time to the response of a served call, in microseconds.
     pub p999_us: u64,
     /// Attempts per call.
     pub attempts: f64,
@@ -38,15 +38,15 @@
     attempts: u64,
     offered: [u64; 2],
     served: [u64; 2],
-    whole: hdrhistogram::Histogram<u32>,
-    refusals: hdrhistogram::Histogram<u32>,
+    latencies_us: hdrhistogram::Histogram<u32>,
+    refusals_us: hdrhistogram::Histogram<u32>,
     refused: u64,
     timeouts: u64,
     unknown: u64,
 }
 
-/// Longest time recorded, in microseconds.
-const MOST: u64 = 10_000_000;
+/// Largest time that is recorded; larger ones count as this.
+const MAX_TIME_US: u64 = 10_000_000;
 
 impl Tally {
     pub(super) fn new() -> Result<Self, hdrhistogram::CreationError> {
@@ -55,8 +55,8 @@
             attempts: 0,
             offered: [0; 2],
             served: [0; 2],
-            whole: hdrhistogram::Histogram::new_with_max(MOST, 3)?,
-            refusals: hdrhistogram::Histogram::new_with_max(MOST, 3)?,
+            latencies_us: hdrhistogram::Histogram::new_with_max(MAX_TIME_US, 3)?,
+            refusals_us: hdrhistogram::Histogram::new_with_max(MAX_TIME_US, 3)?,
             refused: 0,
             timeouts: 0,
             unknown: 0,
@@ -76,11 +76,11 @@
         match outcome {
             retry::Outcome::Ran => {
                 self.served[kind as usize] += 1;
-                self.whole.saturating_record(micros);
+                self.latencies_us.saturating_record(micros);
             }
             retry::Outcome::NotRun(_) => {
                 self.refused += 1;
-                self.refusals.saturating_record(micros);
+                self.refusals_us.saturating_record(micros);
             }
             retry::Outcome::Unknown(reason) => {
                 self.unknown += 1;
@@ -89,24 +89,24 @@
         }
     }
 
-    /// The figures, when the upstreams could have run `capacity` calls.
+    /// The results, given that the upstreams could have run `capacity` calls.
     pub(super) fn figures(&self, capacity: f64) -> Figures {
         let [browses, orders] = self.offered.map(|n| n as f64);
         let best_orders = orders.min(capacity);
         let best_browses = browses.min(capacity - best_orders);
         let best = best_browses + best_orders * f64::from(setup::Kind::Order.weight());
-        let [served, kept] = self.served.map(|n| n as f64);
-        let worth = served + kept * f64::from(setup::Kind::Order.weight());
+        let [served_browses, served_orders] = self.served.map(|n| n as f64);
+        let weight = served_browses + served_orders * f64::from(setup::Kind::Order.weight());
         Figures {
             calls: self.calls,
-            goodput: worth / best.max(1.0),
-            orders: kept / orders.max(1.0),
-            p50_us: self.whole.value_at_quantile(0.5),
-            p99_us: self.whole.value_at_quantile(0.99),
-            p999_us: self.whole.value_at_quantile(0.999),
+            goodput: weight / best.max(1.0),
+            orders: served_orders / orders.max(1.0),
+            p50_us: self.latencies_us.value_at_quantile(0.5),
+            p99_us: self.latencies_us.value_at_quantile(0.99),
+            p999_us: self.latencies_us.value_at_quantile(0.999),
             attempts: self.attempts as f64 / self.calls.max(1) as f64,
             refused: self.refused,
-            refused_p99_us: self.refusals.value_at_quantile(0.99),
+            refused_p99_us: self.refusals_us.value_at_quantile(0.99),
             timeouts: self.timeouts,
             unknown: self.unknown,
         }
--- a/src/bench/policies/tests.rs
+++ b/src/bench/policies/tests.rs
@@ -1,4 +1,4 @@
-//! Bounds on what the decisions reach together, in virtual time.
+//! Bounds on the results of the policies, in virtual time.
 
 use rstest::rstest;
 
@@ -24,7 +24,7 @@
 #[case::healthy(case::Fault::None)]
 #[case::lying(case::Fault::Lying)]
 #[case::many_entries(case::Fault::Many)]
-fn twice_the_load_costs_light_calls_only(#[case] fault: case::Fault) {
+fn overload_is_refused_quickly_and_hits_light_calls_only(#[case] fault: case::Fault) {
     let figures = run(fault, 200);
     assert!(figures.goodput >= 0.95, "{figures:?}");
     assert!(figures.orders >= 0.99, "{figures:?}");
@@ -40,13 +40,13 @@
 }
 
 #[test]
-fn a_dead_upstream_costs_callers_nothing_at_half_load() {
+fn a_dead_upstream_causes_no_failed_call_at_half_load() {
     let figures = run(case::Fault::Dead, 50);
     assert_eq!((figures.refused, figures.unknown), (0, 0), "{figures:?}");
 }
 
 #[test]
-fn a_slow_upstream_costs_at_most_half_of_the_tail_at_half_load() {
+fn a_slow_upstream_adds_at_most_half_to_the_p99_at_half_load() {
     let (slow, healthy) = (run(case::Fault::Slow, 50), run(case::Fault::None, 50));
     assert!(slow.p99_us * 2 <= healthy.p99_us * 3, "{slow:?} against {healthy:?}");
 }
--- a/src/bench/policies/upstream.rs
+++ b/src/bench/policies/upstream.rs
@@ -1,4 +1,4 @@
-//! A modelled upstream behind its gate.
+//! A modelled upstream and the admission gate of its owner node.
 
 use rand::RngExt;
 use rand::rngs;
@@ -8,18 +8,18 @@
 use crate::bench::policies::setup;
 use crate::clock;
 
-/// Spread of the service time: standard deviation of its logarithm.
+/// Standard deviation of the logarithm of the call times.
 const SIGMA: f64 = 0.5;
 
 /// A modelled upstream.
 pub(super) struct Upstream {
     pub(super) gate: admit::Gate,
-    /// Calls that run.
+    /// Tickets of the calls that run.
     running: Vec<admit::Ticket>,
-    /// Calls it really runs at once.
+    /// Maximum number of concurrent calls; fewer than it announces if it is lying.
     pub(super) slots: u16,
     pub(super) dead: bool,
-    /// When its gate is to be woken.
+    /// Time for which a tick of the gate is scheduled.
     pub(super) wake: Option<clock::Instant>,
     slow: f64,
     cold: bool,
@@ -27,8 +27,11 @@
 
 impl Upstream {
     pub(super) fn new(index: usize, fault: case::Fault) -> Self {
-        let limits =
-            admit::Limits { slots: setup::SLOTS, connections: u16::MAX, queue: setup::QUEUE };
+        let limits = admit::Limits {
+            slots: setup::SLOTS,
+            connections: u16::MAX,
+            queue: setup::QUEUE_CAPACITY,
+        };
         let hit = index == 0;
         let lying = hit && fault == case::Fault::Lying;
         Self {
@@ -37,19 +40,23 @@
             slots: if lying { setup::LYING_SLOTS } else { setup::SLOTS },
             dead: fault == case::Fault::Outage || (hit && fault == case::Fault::Dead),
             wake: None,
-            slow: if hit && fault == case::Fault::Slow { setup::SLOW } else { 1.0 },
+            slow: if hit && fault == case::Fault::Slow { setup::SLOW_FACTOR } else { 1.0 },
             cold: hit && fault == case::Fault::Cold,
         }
     }
 
-    /// Mean service time at `now`, in microseconds.
+    /// Mean time of a call at `now`, in microseconds.
     pub(super) fn mean(&self, now: clock::Instant) -> f64 {
         let warm = now.as_micros() as f64 / setup::WARMUP.as_micros() as f64;
-        let cold = if self.cold { setup::COLD - (setup::COLD - 1.0) * warm.min(1.0) } else { 1.0 };
-        setup::SERVICE * self.slow * cold
+        let cold = if self.cold {
+            setup::COLD_FACTOR - (setup::COLD_FACTOR - 1.0) * warm.min(1.0)
+        } else {
+            1.0
+        };
+        setup::MEAN_SERVICE_US * self.slow * cold
     }
 
-    /// Starts a call; its service time in microseconds, or `None` when the upstream sheds it.
+    /// Starts a call. Returns its time in microseconds, or `None` if the upstream sheds it.
     pub(super) fn start(
         &mut self,
         ticket: admit::Ticket,
@@ -63,7 +70,7 @@
         Some((self.mean(now) * log_normal(rng)) as u64)
     }
 
-    /// Ends a call; `false` when it does not run any more.
+    /// Ends a call; returns `false` if it was not running.
     pub(super) fn end(&mut self, ticket: admit::Ticket) -> bool {
         let before = self.running.len();
         self.running.retain(|t| *t != ticket);
--- a/src/bench/upstream.rs
+++ b/src/bench/upstream.rs
@@ -60,7 +60,7 @@
     pub millis: f64,
 }
 
-/// Why a [`Mean`] can't be read.
+/// Why a [`Mean`] can't be parsed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum MeanError {
     /// There is no equals sign.
@@ -122,7 +122,7 @@
     time::Duration::try_from_secs_f64(millis / 1000.0).unwrap_or_default()
 }
 
-/// Ready at the first SIGTERM or SIGINT.
+/// Returns a future that is ready at the first SIGTERM or SIGINT.
 pub(super) fn signals() -> std::io::Result<impl Future<Output = ()>> {
     let mut term = unix::signal(unix::SignalKind::terminate())?;
     let mut int = unix::signal(unix::SignalKind::interrupt())?;
--- a/src/bin/dandelionspool-bench.rs
+++ b/src/bin/dandelionspool-bench.rs
@@ -1,4 +1,4 @@
-//! The `dandelionspool-bench` program: a thin shell around [`dandelionspool::bench`].
+//! The `dandelionspool-bench` program: runs [`dandelionspool::bench`].
 
 fn main() -> std::process::ExitCode {
     dandelionspool::bench::main()
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `dandelionspool` program: a thin shell around [`dandelionspool::cli`].
+//! The `dandelionspool` program: runs [`dandelionspool::cli`].
 
 fn main() -> std::process::ExitCode {
     dandelionspool::cli::main()
