--- a/src/member/detect.rs
+++ b/src/member/detect.rs
@@ -24,8 +24,8 @@
 /// Hosts pinged to confirm this host's own standing.
 const CONFIRM_PINGS: usize = 3;
 
-/// Every so many reconnect probes a configured address is tried although other hosts answer.
-const JOIN_ADDRESS_EVERY: u32 = 8;
+/// One in this many reconnect probes goes to a configured address even while other hosts answer.
+const RECONNECTS_PER_JOIN_ADDRESS: u32 = 8;
 
 /// Timers of detection.
 #[derive(Clone, Debug, Default)]
@@ -289,7 +289,9 @@
         };
         let lost: Vec<_> = self.table.iter().filter(|(id, e)| lost(*id, e)).collect();
         let mut target = lost.choose(&mut self.rng).map(|(id, _)| *id);
-        if self.peers.is_empty() || self.detect.reconnects.is_multiple_of(JOIN_ADDRESS_EVERY) {
+        if self.peers.is_empty()
+            || self.detect.reconnects.is_multiple_of(RECONNECTS_PER_JOIN_ADDRESS)
+        {
             let unknown = self.join.addresses().filter(|&id| self.table.get(id).is_none());
             let unknown: Vec<_> = unknown.collect();
             target = unknown.choose(&mut self.rng).copied().or(target);
--- a/src/member/join.rs
+++ b/src/member/join.rs
@@ -18,8 +18,8 @@
 use crate::member::updates;
 use crate::member::wire;
 
-/// Time after which a host that is known from the directory alone counts as suspect. After a start
-/// of all of 295 hosts at once half of the hosts have made contact within two seconds.
+/// Time after which a host that is known from the directory alone counts as suspect. When all
+/// 295 hosts of a mesh start at once, half of them have made contact within two seconds.
 const CONFIRM_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 /// Unknown hosts of a directory list to which digests are sent: one that answers knows the others.
@@ -108,8 +108,8 @@
         self.next_attempt = self.next_attempt + wait;
     }
 
-    /// Takes the token for one page, of which `rate` are granted in a second; `false` when there is
-    /// none.
+    /// Takes the token for one page; `false` when there is none. `rate` tokens are added in each
+    /// second.
     fn take_token(&mut self, rate: f64, now: clock::Instant) -> bool {
         let grown = now.since(self.refilled).as_secs_f64() * rate;
         self.tokens = (self.tokens + grown).min(rate);
@@ -123,7 +123,7 @@
 }
 
 impl member::Member {
-    /// Asks for the next page when it is time to.
+    /// Asks for the next page when the attempt is due.
     pub(super) fn run_join(&mut self) {
         if self.join.done {
             return;
@@ -148,7 +148,7 @@
     }
 
     /// Merges the hosts that the directory lists, with the profiles they registered, until they
-    /// make contact themselves. After a start of all of 295 hosts at once each host knows all the
+    /// make contact themselves. When all 295 hosts of a mesh start at once, each knows all the
     /// others from its first list; by pages and gossip alone it knew 45% of them after 1.5 s and
     /// 73% after 5 s of virtual time.
     pub(super) fn merge_listed(&mut self, hosts: Vec<directory::Listed>) {
@@ -199,8 +199,8 @@
 
     /// Whether `entry` is known from the directory alone and the host is likely to be gone: the
     /// copied table did not contain it, or it made no contact for a while. Such a host may still
-    /// get calls but is not relied on for shared work: a node that restarted relied on hosts that
-    /// had left while they could not deregister, and left the reading of the log to them.
+    /// get calls but is not relied on for shared work: a restarted node would otherwise leave the
+    /// reading of the log to hosts that left the mesh without being able to deregister.
     pub(super) fn is_unconfirmed(&self, entry: &table::Entry) -> bool {
         let late = self.now.since(entry.since) >= CONFIRM_TIMEOUT;
         entry.record.serial == 0 && (self.join.confirmed || late)
--- a/src/member/mod.rs
+++ b/src/member/mod.rs
@@ -136,7 +136,7 @@
 
 impl Member {
     /// A host that starts to join the mesh at `now`. `incarnation` must be higher than every
-    /// earlier one on the same address, as the `unix_millis` of the start are.
+    /// earlier one on the same address; callers pass the wall-clock time of the start.
     pub fn new(settings: &configs::Node, seed: u64, incarnation: u64, now: clock::Instant) -> Self {
         let id = host::HostId::new(settings.listen);
         let locality =
--- a/src/member/quarantine_sync.rs
+++ b/src/member/quarantine_sync.rs
@@ -113,8 +113,8 @@
     fn record_answer(&mut self, fingerprint: quarantine::Fingerprint) {
         let crashes = self.quarantine.table.record_answer(fingerprint, self.now);
         self.quarantine.changed |= crashes > 0;
-        // Below this threshold no host acts on the crashes, so that lifting them would only be
-        // traffic.
+        // Below this threshold no host acts on the crashes, so gossip about the answer would only
+        // cost traffic.
         if crashes >= quarantine::SUSPICION_THRESHOLD {
             self.queue_update(
                 updates::Topic::Quarantine(fingerprint),
--- a/src/member/updates.rs
+++ b/src/member/updates.rs
@@ -49,7 +49,7 @@
     Packed,
     /// The datagram had no room for it.
     Full,
-    /// The state has no content for it any more.
+    /// The state no longer has content for it, as when its host was removed.
     Gone,
 }
 
--- a/src/member/zones.rs
+++ b/src/member/zones.rs
@@ -106,7 +106,7 @@
         new
     }
 
-    /// Ends the rounds whose deadline has passed at `now`; a further round takes `round`.
+    /// Ends the rounds whose deadline has passed at `now`; a further round lasts for `round`.
     pub fn expire(
         &mut self,
         round: time::Duration,
--- a/src/mesh/check/shape.rs
+++ b/src/mesh/check/shape.rs
@@ -8,14 +8,14 @@
 use crate::mesh::check;
 use crate::mesh::fault;
 
-const LATEST: &str = include_str!("../../../schema/configuration.json");
-const FIRST: &str = include_str!("../../../schema/format1.json");
+const LATEST_SCHEMA: &str = include_str!("../../../schema/configuration.json");
+const FIRST_SCHEMA: &str = include_str!("../../../schema/format1.json");
 
 /// A compiled schema, or the error of its compilation.
 type Validator = Result<jsonschema::Validator, String>;
 
-static LATEST_VALIDATOR: LazyLock<Validator> = LazyLock::new(|| validator(LATEST));
-static FIRST_VALIDATOR: LazyLock<Validator> = LazyLock::new(|| validator(FIRST));
+static LATEST_VALIDATOR: LazyLock<Validator> = LazyLock::new(|| validator(LATEST_SCHEMA));
+static FIRST_VALIDATOR: LazyLock<Validator> = LazyLock::new(|| validator(FIRST_SCHEMA));
 
 fn validator(schema: &str) -> Validator {
     let schema: Value = serde_json::from_str(schema).map_err(|e| e.to_string())?;
--- a/src/spread/decision.rs
+++ b/src/spread/decision.rs
@@ -269,8 +269,8 @@
     pub fn role(&self) -> read_schedule::Role {
         let ready = [start::Phase::Confirming, start::Phase::AskingMore, start::Phase::Started];
         // A node that began to read the log before it knew other hosts reads on to the end. If
-        // nodes stopped when they joined the directory, each would wait a second for others that
-        // wait too.
+        // nodes stopped when the directory showed them others, each would wait a second for others
+        // that wait too.
         let reading = !self.started() && self.reader.bounds().is_some();
         match self.peers.rank() {
             _ if !ready.contains(&self.start.phase()) => read_schedule::Role::Idle,
@@ -304,7 +304,7 @@
         }
         match after {
             start::Phase::Asking | start::Phase::AskingMore => self.query_peers(),
-            // A reader finds out by replaying the log to its end.
+            // A reader needs no such read: it replays the log to its end.
             start::Phase::Confirming if self.role() == read_schedule::Role::Idle => {
                 self.schedule.request_confirmation()
             }
--- a/src/spread/read_schedule.rs
+++ b/src/spread/read_schedule.rs
@@ -108,7 +108,8 @@
         }
     }
 
-    /// When the next read is due; `None` when it need not wait, or none is to be started.
+    /// When the next read is due; `None` when it is due now, or when none may start because one is
+    /// outstanding or this node does not read the log.
     pub fn due(&self, role: Role) -> Option<clock::Instant> {
         if self.outstanding.is_some() || role == Role::Idle { None } else { self.due }
     }
--- a/src/spread/start.rs
+++ b/src/spread/start.rs
@@ -12,7 +12,7 @@
 /// Longest wait for the first other host when the settings name hosts to join through.
 const MAX_JOIN_WAIT: time::Duration = time::Duration::from_secs(3);
 
-/// Share of each other host in the longest random delay of a start, so that the requests of many
+/// Added to the maximum random delay of a start for each other host, so that the requests of many
 /// hosts that start at once are spread over time.
 const DELAY_PER_HOST: time::Duration = time::Duration::from_millis(1);
 
--- a/src/spread/tests/net/links.rs
+++ b/src/spread/tests/net/links.rs
@@ -14,8 +14,8 @@
 use crate::spread::tests::net::{Item, Net};
 use crate::version;
 
-/// Range of the network's one-way delay, in microseconds.
-const DELAY: (u64, u64) = (200, 3000);
+/// Range of the network's one-way delay.
+const DELAY_US: (u64, u64) = (200, 3000);
 
 impl Net {
     pub(super) fn append_snapshot(&mut self, body: bytes::Bytes) {
@@ -41,7 +41,7 @@
     }
 
     pub(super) fn delay(&mut self) -> clock::Instant {
-        self.now + time::Duration::from_micros(self.rng.random_range(DELAY.0..DELAY.1))
+        self.now + time::Duration::from_micros(self.rng.random_range(DELAY_US.0..DELAY_US.1))
     }
 
     pub(super) fn send(&mut self, from: usize, host: host::HostId, datagram: &message::Datagram) {
--- a/src/spread/tests/propagation.rs
+++ b/src/spread/tests/propagation.rs
@@ -1,5 +1,5 @@
 //! Propagation of versions through fleets in virtual time: latency, reads of the log and bytes
-//! sent_bytes.
+//! sent.
 
 use std::time;
 
--- a/src/spread/tests/restored_log.rs
+++ b/src/spread/tests/restored_log.rs
@@ -156,7 +156,7 @@
 }
 
 /// Guards against offsets of one epoch that are taken for offsets of another: after a restore, the
-/// records at the offset after `held` say nothing about it.
+/// records at the offset after `held` don't show whether there is a newer version.
 #[rstest]
 #[case::an_older_copy(3, confirm::Finding::Unknown)]
 #[case::nothing_lost(0, confirm::Finding::Unknown)]
--- a/src/spread/tree.rs
+++ b/src/spread/tree.rs
@@ -9,6 +9,7 @@
 use crate::host;
 use crate::version;
 
+/// Inputs of [`host::HostId::weight`] that separate the order of readers from that of the tree.
 const READER: u64 = 0x7265_6164;
 const TREE: u64 = 0x7472_6565;
 
